--- a/softswitch/core/call_history.py
+++ b/softswitch/core/call_history.py
@@ -74,7 +74,7 @@
             self.calls.move_to_end(call)
         trace.add(entry)
 
-    def take_changed(self, limit: int) -> list[str]:
+    def pop_changed(self, limit: int) -> list[str]:
         """Up to so many calls with entries since they were last taken; the oldest first."""
         taken = list(self.changed)[:limit]
         for call in taken:
--- a/softswitch/core/lifecycle.py
+++ b/softswitch/core/lifecycle.py
@@ -14,7 +14,7 @@
 DRAIN_KEEPS_CONNECTION_FOR = 3_850.0  # in which one connection stays, for releases of established calls
 DRAIN_LATE_SETUP_FROM = 1_700.0  # call setups received after this ...
 DRAIN_LATE_SETUP_UNTIL = 3_500.0  # ... are failed after this
-NEWCOMER_TIMEOUT = 500.0  # ms that a connection which is opened after a drain has for its first request
+NEW_CONNECTION_TIMEOUT = 500.0  # ms that a connection which is opened after a drain has for its first request
 STOP_REJECTS_FOR = (
     300.0  # ms before the end of a stop in which call setups are rejected: connections run idle
 )
--- a/softswitch/net/call_history.py
+++ b/softswitch/net/call_history.py
@@ -53,7 +53,7 @@
             self.host.reactor.callInThread(self._write, lines)
 
     def _lines(self, most: int) -> list[bytes]:
-        told = (self.history.report(call, -self.host.offset) for call in self.history.take_changed(most))
+        told = (self.history.report(call, -self.host.offset) for call in self.history.pop_changed(most))
         return [orjson.dumps(life) for life in told if life]
 
     def _write(self, lines: list[bytes]) -> None:
--- a/softswitch/net/sip_server.py
+++ b/softswitch/net/sip_server.py
@@ -9,7 +9,7 @@
 
 from softswitch.core.call_history import CONNECTIONS
 from softswitch.core.counters import Count, CountFamily
-from softswitch.core.lifecycle import DRAIN_KEEPS_CONNECTION_FOR, NEWCOMER_TIMEOUT, Phase
+from softswitch.core.lifecycle import DRAIN_KEEPS_CONNECTION_FOR, NEW_CONNECTION_TIMEOUT, Phase
 from softswitch.core.switch import Switch
 from softswitch.net.release_sender import ReleaseSender
 from softswitch.net.sip_calls import SipCalls
@@ -209,7 +209,7 @@
 
     def _close_all_idle(self) -> None:
         now = self.wheel.now
-        silent = [c for c, since in self.connections.silent.items() if now - since > NEWCOMER_TIMEOUT]
+        silent = [c for c, since in self.connections.silent.items() if now - since > NEW_CONNECTION_TIMEOUT]
         for connection in [*silent, *self.connections.idle, *self.connections.idle_callers]:
             self._close_if_idle(connection)
 
--- a/tests/test_call_history.py
+++ b/tests/test_call_history.py
@@ -25,9 +25,9 @@
         history.note(call_id(n), "set-up")
     assert list(history.calls) == [call_id(n) for n in (2, 3, 4)]
     assert history.dropped == 2
-    assert history.take_changed(2) == [call_id(2), call_id(3)]
-    assert history.take_changed(9) == [call_id(4)]
-    assert history.take_changed(9) == []
+    assert history.pop_changed(2) == [call_id(2), call_id(3)]
+    assert history.pop_changed(9) == [call_id(4)]
+    assert history.pop_changed(9) == []
     for n in range(100):
         at[0] = float(n)
         history.note(call_id(4), "again", str(n))
