--- a/softswitch/core/__init__.py
+++ b/softswitch/core/__init__.py
@@ -1,1 +1,1 @@
-"""The softswitch without its wires: calls, timers, rules and counters. Nothing in here knows a socket."""
+"""The core of the softswitch: calls, timers, rules and counters, independent of sockets and protocols."""
--- a/softswitch/core/call.py
+++ b/softswitch/core/call.py
@@ -1,4 +1,4 @@
-"""A call from its setup to its end: the caller's request, the states, and who is told of it."""
+"""The model of a call: setup request, call states, and the interfaces to callers, engines and observers."""
 
 from __future__ import annotations
 
@@ -9,55 +9,58 @@
 
 from softswitch import interface as i
 
-MAX_TEXT_BYTES = 16_200  # of a call setup's texts: with their heads they fit a message of 16 KiB
+MAX_TEXT_BYTES = (
+    16_200  # total size of the texts of a call setup; with headers they fit into a 16 KiB message
+)
 MAX_TIMEOUT = 600_000.0  # ms
 MAX_CIRCUITS = 100.0
 MAX_CELL = 65_535
 CALL_ID = re.compile(r"[0-9a-f]{16}\Z")
-NUMBER = re.compile(r"[0-9A-Za-z*#+._~-]{1,64}\Z")
-CLASS = re.compile(r"[!-~]{1,64}\Z")  # an engine closes the link, with all calls on it, at what it can't read
+CALLED_NUMBER = re.compile(r"[0-9A-Za-z*#+._~-]{1,64}\Z")
+# An engine that cannot parse a class name closes the link, which ends all calls on it.
+CLASS_NAME = re.compile(r"[!-~]{1,64}\Z")
 
 
 class ReleaseCause:
-    """Causes of a release, as in Q.850; 102 is used here for what was never sent."""
+    """Release causes of Q.850. Here 102 means that the attempt was never sent."""
 
     NORMAL = 16
-    RECOVERY_ERROR = 41  # the call was cut
-    NO_CIRCUIT = 34  # or a processor that is full, by the release's note
+    RECOVERY_ERROR = 41  # the call was cut off
+    NO_CIRCUIT = 34  # no free circuit, or a full processor if the note of the release says so
     NOT_SENT = 102
     ERRORS = (17, 47)  # user busy, resource unavailable
 
 
 class CallResult(StrEnum):
-    """How a call ceased to be owed an answer. The values are those of the call-control API and the record."""
+    """Final result of a call setup. The call-control API and the traffic record use the values."""
 
     ESTABLISHED = "stands"
-    ABANDONED = "given_up"  # its caller waits no longer
-    REJECTED = "refused"  # trying again is harmless
+    ABANDONED = "given_up"  # the caller stopped waiting
+    REJECTED = "refused"  # the caller can safely retry
     FAILED = "failed"  # an attempt may have run
 
 
 class FailureReason(StrEnum):
-    """Why a call was not established. The values are codes of the call-control API."""
+    """Reason why a call was not established. The values are codes of the call-control API."""
 
-    REJECTED = "refused"  # trying again is harmless
+    REJECTED = "refused"  # the caller can safely retry
     FAILED = "failed"  # an attempt may have run
-    DUPLICATE = "repeated"  # this id is known already; the first call setup goes on
+    DUPLICATE = "repeated"  # the call id is already in use; the first call setup continues
     TABLE_FULL = "table_full"
-    DRAINED = "drained"  # this process takes no callers now
-    ABANDONED = "given_up"  # its caller waits no longer
-    UNKNOWN_CALL = "unknown"  # the request names no call that this caller has here
+    DRAINED = "drained"  # this process currently accepts no calls
+    ABANDONED = "given_up"  # the caller stopped waiting
+    UNKNOWN_CALL = "unknown"  # this caller has no call with the requested id in this process
 
 
-RESULTS = {FailureReason.REJECTED: CallResult.REJECTED, FailureReason.FAILED: CallResult.FAILED}
+RESULT_BY_REASON = {FailureReason.REJECTED: CallResult.REJECTED, FailureReason.FAILED: CallResult.FAILED}
 
 
 class CallState(IntEnum):
-    """Where a call is between its setup and its end."""
+    """State of a call."""
 
-    ACCEPTED = auto()  # taken in; the decision module does not know it yet
-    ROUTING = auto()  # the decision module has it; no attempt is in flight
-    ATTEMPTING = auto()  # an attempt is in flight at `Call.server`
+    ACCEPTED = auto()  # in the call table, but not yet passed to the decision module
+    ROUTING = auto()  # passed to the decision module; no attempt is in flight
+    ATTEMPTING = auto()  # an attempt to `Call.server` is in flight
     ESTABLISHED = auto()  # at `Call.server`
     OVER = auto()
 
@@ -71,12 +74,12 @@
 }
 
 
-class InvalidTransition(Exception):  # noqa: N818  # names what happened, as StopIteration does
-    """A call was to change to a state that does not follow on the one that it is in."""
+class InvalidTransition(Exception):  # noqa: N818  # named after the event, like StopIteration
+    """Raised when a call would change to a state that cannot follow its current state."""
 
 
 class Obstacle(Flag):
-    """What the attempts of a call met."""
+    """Shortages that the attempts of a call ran into."""
 
     NONE = 0
     NO_CIRCUIT = auto()
@@ -85,24 +88,24 @@
 
 @dataclass(frozen=True, slots=True)
 class SetupRequest:
-    """A call setup as a caller hands it in."""
+    """Call setup request of a caller."""
 
     call: str  # 16 hex digits
     call_class: str
-    number: str  # the number called
-    timeout: float  # ms that the caller waits, from now
+    number: str  # called number
+    timeout: float  # ms for which the caller waits, counted from now
     description: bytes = b""
     destination_cell: int = -1
     redial: bool = False
     circuits: float = 1.0
-    tenant: str = ""  # whose call it is; empty: nobody's
+    tenant: str = ""  # tenant of the call; empty: none
 
     def __post_init__(self) -> None:
         if not CALL_ID.match(self.call):
             raise ValueError("the id of a call is 16 hex digits")
-        if not NUMBER.match(self.number):
+        if not CALLED_NUMBER.match(self.number):
             raise ValueError("no number called")
-        if not CLASS.match(self.call_class):
+        if not CLASS_NAME.match(self.call_class):
             raise ValueError("no class")
         if not 0 < self.timeout <= MAX_TIMEOUT or not 0 < self.circuits <= MAX_CIRCUITS:
             raise ValueError("patience or width out of range")
@@ -113,65 +116,66 @@
 
 
 class Caller(Protocol):
-    """What the owner of a caller's connection is told of the calls that it handed in."""
+    """Receiver of the notifications about a caller's calls: the server that owns the caller's connection."""
 
-    calls_survive: bool  # whether its calls go on under the next process: their callers know them by id alone
+    # Whether the calls continue in the successor process. They do if callers identify a call by its id alone.
+    calls_survive: bool
 
     def call_established(self, call: str, description: bytes) -> None:
-        """The call is established; `description` comes from the engine."""
+        """Reports that a call is established; `description` is the engine's description."""
 
     def call_failed(self, call: str, reason: FailureReason, retry_after: float) -> None:
-        """The call is not established; `retry_after` in ms, 0: no advice."""
+        """Reports that a call is not established; `retry_after` is in ms, 0 means no advice."""
 
     def call_released(self, call: str, cause: int) -> None:
-        """An established call has ended."""
+        """Reports that an established call has ended."""
 
 
 class Engines(Protocol):
-    """What the switch asks of its quote engines. Answers come back by the switch's own methods."""
+    """Interface to the quote engines. The switch receives their answers through its own methods."""
 
     def send_setup(self, server: str, call: Call) -> None:
-        """Sends the call's setup there."""
+        """Sends the call's setup to the engine."""
 
     def cancel_setup(self, server: str, call: str) -> None:
-        """Takes back a setup that is not answered."""
+        """Cancels a setup that is not yet answered."""
 
     def send_release(self, server: str, call: str, cause: int) -> None:
-        """Ends a call there."""
+        """Releases a call at the engine."""
 
     def endpoint_unavailable(self, server: str) -> None:
-        """It takes nothing new: setups that are not written yet come back as unreachable."""
+        """Stops sending setups to an engine. Setups not yet written are returned as unreachable."""
 
 
 class CallObserver(Protocol):
-    """Who is notified of each call, for the traffic record."""
+    """Observer of all calls, for the traffic record."""
 
     def call_received(self, call: Call) -> None:
-        """A call was taken in."""
+        """Reports that a call was accepted into the call table."""
 
     def call_settled(self, call: Call, result: CallResult) -> None:
-        """A call is owed no answer any more."""
+        """Reports the final result of a call setup."""
 
     def call_ended(self, call: Call) -> None:
-        """An established call has ended."""
+        """Reports that an established call has ended."""
 
 
 class PeerProcess(Protocol):
-    """The other process of this softswitch, while one replaces the other."""
+    """The other process of this softswitch while one process replaces the other."""
 
     def caller_released(self, call: str, cause: int) -> None:
-        """A caller ended a call that is not known here."""
+        """Passes on a caller's release of a call that is unknown in this process."""
 
     def engine_released(self, call: str, cause: int) -> None:
-        """An engine ended a call that is not known here."""
+        """Passes on an engine's release of a call that is unknown in this process."""
 
     def release_undeliverable(self, call: str, cause: int) -> None:
-        """A call is over, and no caller is connected here who could be told."""
+        """Passes on the release of an ended call when no caller is connected to this process."""
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call that this process knows."""
+    """A call in this process, from its setup to its end."""
 
     id: str
     request: SetupRequest
@@ -179,40 +183,44 @@
     received_at: float
     deadline: float  # when the caller stops waiting
     max_attempts: int = 1
-    idempotent: bool = True  # by its class as it came: may be rejected although an attempt may have run
+    # As configured for the class when the call was received. If true, the call may be rejected although an
+    # attempt may have run.
+    idempotent: bool = True
     state: CallState = CallState.ACCEPTED
-    attempt: int = -1  # number of the last attempt
-    server: str | None = None  # where an attempt is in flight, or the call is established
+    attempt: int = -1  # number of the last attempt, from 0; -1: none yet
+    server: str | None = None  # engine of the attempt in flight or of the established call
     sent_at: float = 0.0
-    written: bool = False  # whether any attempt was written to an engine: until then nothing can have run
-    retry_at: float = 0.0  # no attempt before this: retry_delay
+    written: bool = False  # whether an attempt was written to an engine; until then none can have run
+    retry_at: float = 0.0  # earliest time of the next attempt, set by retry_delay
     established_at: float | None = None
-    first_server: str = ""  # where its first attempt went
+    first_server: str = ""  # engine of the first attempt
     obstacles: Obstacle = field(default=Obstacle.NONE)
-    record_slot: Any = None  # where a traffic record has booked it
+    record_slot: Any = None  # slot of the traffic record in which the call is counted
 
     @property
     def established(self) -> bool:
-        """Whether the call has been answered."""
+        """Whether the call is established."""
         return self.state is CallState.ESTABLISHED
 
     @property
     def never_sent(self) -> bool:
-        """Whether no attempt was made."""
+        """Whether no attempt was started."""
         return self.attempt < 0
 
     def transition(self, state: CallState) -> None:
-        """Changes to the next state."""
+        """Changes the state; raises InvalidTransition if the new state cannot follow the current one."""
         if state not in TRANSITIONS[self.state]:
-            raise InvalidTransition(f"call {self.id}: {self.state.name} to {state.name}")
+            raise InvalidTransition(
+                f"call {self.id}: invalid transition from {self.state.name} to {state.name}"
+            )
         self.state = state
 
-    def awaits(self, attempt: int) -> bool:
-        """Whether that attempt is in flight."""
+    def has_in_flight(self, attempt: int) -> bool:
+        """Whether the attempt with this number is in flight."""
         return self.state is CallState.ATTEMPTING and self.attempt == attempt
 
     def setup_event(self, timeout: float) -> i.SetupRequested:
-        """The event that hands the call to the decision module."""
+        """Returns the event that passes the call to the decision module."""
         r = self.request
         return i.SetupRequested(
             r.call,
--- a/softswitch/core/call_history.py
+++ b/softswitch/core/call_history.py
@@ -1,7 +1,7 @@
-"""What happened to each of the last calls, in a bounded ring, for those that went wrong.
+"""Bounded history of the most recent calls, to diagnose those that failed.
 
-Off unless the operator file asks for it (`calls = {...}`). Kept of a call are a few short entries; of many
-calls the oldest go first, and a call with many entries keeps its first and its last ones.
+Disabled unless the operator file enables it (`calls = {...}`). A call has a few short entries. The calls
+untouched for longest are dropped first; a call with many entries keeps its first and last ones.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-FIRST_ENTRIES = 8  # kept of one call; those between these and the last ones are counted
+FIRST_ENTRIES = 8  # kept per call; entries between these and the last ones are only counted
 LAST_ENTRIES = 24
-CONNECTION_ENTRIES = 20 * LAST_ENTRIES  # kept of links and connections together
-CONNECTIONS = ""  # the id under which links and connections are noted
+CONNECTION_ENTRIES = 20 * LAST_ENTRIES  # kept for all links and connections together
+CONNECTIONS = ""  # the id under which entries of links and connections are added
 
 
 @dataclass(slots=True)
 class Entry:
-    """Something that happened, where and when."""
+    """One event of a call or a connection."""
 
     at: float  # ms
     what: str
@@ -28,36 +28,36 @@
 
 @dataclass(slots=True)
 class CallTrace:
-    """The entries of one call."""
+    """Entries of one call, or of all connections."""
 
     first: list[Entry] = field(default_factory=list)
     last: list[Entry] = field(default_factory=list)
-    left_out: int = 0  # entries between them
+    omitted: int = 0  # number of entries dropped between `first` and `last`
 
     def add(self, entry: Entry, max_last: int = LAST_ENTRIES) -> None:
-        """Adds an entry; of many the middle ones are left out."""
+        """Adds an entry. Beyond the limits, the middle entries are dropped."""
         if len(self.first) < FIRST_ENTRIES:
             self.first.append(entry)
             return
         self.last.append(entry)
         if len(self.last) > max_last:
             del self.last[0]
-            self.left_out += 1
+            self.omitted += 1
 
 
 class CallHistory:
-    """Owner of all traces, of `max_calls` calls at once."""
+    """Owns the traces of up to `max_calls` calls."""
 
     def __init__(self, clock: Callable[[], float], max_calls: int) -> None:
         self.clock = clock
         self.max_calls = max_calls
-        self.calls: OrderedDict[str, CallTrace] = OrderedDict()  # the one that was longest untouched first
+        self.calls: OrderedDict[str, CallTrace] = OrderedDict()  # the one untouched for longest first
         self.connections = CallTrace()
         self.dropped = 0
-        self.changed: dict[str, None] = {}  # calls with entries since they were last taken for the file
+        self.changed: dict[str, None] = {}  # ids with new entries since the last `pop_changed`
 
     def note(self, call: str, what: str, where: str = "") -> None:
-        """Something happened to a call, or with CONNECTIONS to a link or a connection."""
+        """Adds an entry to the trace of a call, or of the connections if `call` is CONNECTIONS."""
         entry = Entry(self.clock(), what, where)
         self.changed[call] = None
         if call == CONNECTIONS:
@@ -75,25 +75,25 @@
         trace.add(entry)
 
     def pop_changed(self, limit: int) -> list[str]:
-        """Up to so many calls with entries since they were last taken; the oldest first."""
-        taken = list(self.changed)[:limit]
-        for call in taken:
+        """Removes and returns up to `limit` ids with new entries, the oldest first."""
+        popped = list(self.changed)[:limit]
+        for call in popped:
             del self.changed[call]
-        return taken
+        return popped
 
     def report(self, call: str, offset: float = 0.0) -> dict[str, Any] | None:
-        """The trace of one call, times shifted by `offset` ms; None if it is not known, or no more."""
+        """Returns the trace of a call, times shifted by `offset` ms; None if the call has no trace."""
         trace = self.connections if call == CONNECTIONS else self.calls.get(call)
         if trace is None:
             return None
         return {
             "call": call or "links",
-            "left_out": trace.left_out,
-            "life": [_reported(entry, offset) for entry in (*trace.first, *trace.last)],
+            "left_out": trace.omitted,
+            "life": [_report_entry(entry, offset) for entry in (*trace.first, *trace.last)],
         }
 
 
-def _reported(entry: Entry, offset: float) -> dict[str, Any]:
+def _report_entry(entry: Entry, offset: float) -> dict[str, Any]:
     reported: dict[str, Any] = {"ms": round(entry.at + offset, 1), "what": entry.what}
     if entry.where:
         reported["where"] = entry.where
--- a/softswitch/core/counters.py
+++ b/softswitch/core/counters.py
@@ -1,4 +1,4 @@
-"""Every counter and duration of the softswitch, declared in one place.
+"""Declares all counters and durations of the softswitch.
 
 The values are the names in the `counters {...}` log line and in the telemetry; docs/oncall.md explains each.
 """
@@ -11,9 +11,7 @@
 
 
 class Count:
-    """The counters, by their published names. Plain texts: members of an enum are too slow to look up
-    here.
-    """
+    """Published names of the counters. Plain strings, since enum members are too slow to look up here."""
 
     # calls
     CALL_SETUPS: Final = "set-ups"
@@ -50,7 +48,7 @@
     DUPLICATE_ENDPOINT_UPDATES: Final = "repeated notices"
     ENDPOINT_UPDATES_REQUESTED: Final = "notices asked again"
     WATCH_CONNECTIONS_LOST: Final = "board connections lost"
-    # engine links
+    # links to engines
     ENGINE_CONNECTIONS_LOST: Final = "engine connections lost"
     ENGINE_CONNECTIONS_CORRUPT: Final = "engine links spoilt"
     ENGINE_LISTENING_CONNECTIONS: Final = "engine connections that listen"
@@ -59,7 +57,7 @@
     RELEASES_CUT_SHORT: Final = "releases cut short"
     ENGINE_RELEASES_DROPPED: Final = "releases to engines dropped"
     ENGINE_RELEASES_RESENT: Final = "releases to engines sent again"
-    # callers by SIP
+    # SIP callers
     CALLER_CONNECTIONS: Final = "caller connections"
     CONNECTIONS_REFUSED: Final = "connections turned away"
     CONNECTIONS_SHED: Final = "connections shed"
@@ -71,19 +69,19 @@
     CALLER_RELEASES_RETRIED: Final = "releases sent again"
     CALLER_RELEASES_UNACKNOWLEDGED: Final = "releases not acknowledged"
     CALLER_RELEASES_UNSENT: Final = "releases never sent"
-    # callers by WebSocket
+    # WebSocket callers
     CONTROL_MESSAGES: Final = "control messages"
     CONTROL_SOCKETS_REFUSED: Final = "control sockets turned away"
-    # operators
+    # management calls
     MANAGEMENT_SHED: Final = "mgmt shed"
-    # the other process, components
+    # the peer process and optional components
     PASSED_TO_PEER_PROCESS: Final = "passed to the other process"
     RECORD_INTERVALS: Final = "record intervals"
     RECORD_INTERVALS_LOST: Final = "record intervals lost"
 
 
 class CountFamily:
-    """The beginning of counters that differ by one more word: `CountFamily.SIP_ANSWERS + "200"`."""
+    """Prefixes of counters that differ in their last word: `CountFamily.SIP_ANSWERS + "200"`."""
 
     ATTEMPTS: Final = "attempt "  # by outcome
     CONNECTIONS_CLOSED: Final = "connections closed as "  # by reason
@@ -94,11 +92,11 @@
 
 
 class Duration(StrEnum):
-    """A measured duration, by its published name; ms."""
+    """Published names of the measured durations, in ms."""
 
     CALL_SETUP = "set-up"  # from the caller's request to the answer
     CALL = "call"  # from the answer to the end
 
 
 class Counters(Counter[str]):
-    """All counters of one process, from zero at its start. Owned by the switch."""
+    """All counters of one process since its start. The switch owns them."""
--- a/softswitch/core/endpoint_directory.py
+++ b/softswitch/core/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The quote engines that the endpoint list has named: their state, last start and cell."""
+"""Directory of the quote engines in the endpoint list: state, last start and cell of each."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class EndpointDirectory:
-    """Owner of what the list says. An entry goes once its engine is removed and has no call left."""
+    """Stores the endpoint list. An entry is deleted once its engine is removed and has no calls left."""
 
     def __init__(self) -> None:
         self.states: dict[str, i.EndpointState] = {}
@@ -14,32 +14,32 @@
         self.cells: dict[str, int] = {}
 
     def state_of(self, server: str) -> i.EndpointState | None:
-        """What the list says of a server; None if it never named it."""
+        """Returns the state of a server in the list; None if the server is unknown."""
         return self.states.get(server)
 
     def is_ready(self, server: str) -> bool:
-        """Whether calls may be sent there."""
+        """Whether calls may be sent to a server."""
         return self.states.get(server) is i.EndpointState.READY
 
     def listed(self) -> list[str]:
-        """The servers that are not removed."""
+        """Returns the servers that are not removed."""
         return [s for s, state in self.states.items() if state is not i.EndpointState.REMOVED]
 
     def not_ready(self) -> list[str]:
-        """The servers that take nothing new."""
+        """Returns the servers that accept no new calls."""
         return [s for s, state in self.states.items() if state is not i.EndpointState.READY]
 
     def restarted(self, endpoint: i.Endpoint) -> bool:
-        """Whether another process runs there than the list told before."""
+        """Whether the entry shows a new process at a known server: its start time has changed."""
         return self.started_at.get(endpoint.server, endpoint.started_at) != endpoint.started_at
 
     def mark_unlisted(self, update: i.EndpointsChanged) -> None:
-        """A complete list leaves out what is removed."""
+        """Marks the servers as removed that a complete list does not contain."""
         for server in update.unlisted(self.states):
             self.states[server] = i.EndpointState.REMOVED
 
     def update(self, endpoint: i.Endpoint) -> None:
-        """Takes in one entry of the list; a removed server that is not known stays unknown."""
+        """Stores one entry of the list. A removed server that is unknown is not stored."""
         if endpoint.state is i.EndpointState.REMOVED and endpoint.server not in self.states:
             return
         self.states[endpoint.server] = endpoint.state
@@ -47,7 +47,7 @@
         self.cells[endpoint.server] = endpoint.cell
 
     def forget(self, server: str) -> None:
-        """The server is removed and has no call left."""
+        """Deletes a removed server that has no calls left."""
         self.states.pop(server, None)
         self.started_at.pop(server, None)
         self.cells.pop(server, None)
--- a/softswitch/core/figures.py
+++ b/softswitch/core/figures.py
@@ -1,8 +1,8 @@
-"""What the operators are told in numbers: a row a class, each call counted once, where it happens.
+"""Figures for operators: one row per call class. Each call is counted once, when its result is known.
 
-The sums balance: taken = fulfilled + throttled + faulted + abandoned + those still owed an answer. An
-established call is fulfilled, and an open request until it ends. Counts since the start; the names are those
-of the page.
+The sums balance: taken = fulfilled + throttled + faulted + abandoned + unanswered calls. An established call
+counts as fulfilled, and as an open request until it ends. The counts start with the process; the published
+names are those of the operators' page.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 from softswitch.core.call import CallResult
 
-MAX_VANISHED_CLASSES = 64  # rows kept of classes that the settings no longer have
+MAX_VANISHED_CLASSES = 64  # rows kept for classes that are no longer in the settings
 
-# In which column of the figures a call is counted, by how it ceased to be owed an answer.
+# The column in which a call is counted, by its result.
 COLUMNS = {
     CallResult.ESTABLISHED: "fulfilled",
     CallResult.ABANDONED: "abandoned",
@@ -26,34 +26,34 @@
 
 @dataclass(slots=True)
 class ClassFigures:
-    """One class of call."""
+    """The row of one call class."""
 
-    taken: int = 0  # call setups that were owed an answer
+    taken: int = 0  # call setups received, each of which gets one answer
     fulfilled: int = 0  # established
-    throttled: int = 0  # rejected: trying again is harmless
+    throttled: int = 0  # rejected: the caller can safely retry
     faulted: int = 0  # failed
-    abandoned: int = 0  # given up by their callers before an answer
+    abandoned: int = 0  # abandoned by the caller before an answer
     relayed: int = 0  # attempts written completely to quote engines
 
     def report(self) -> dict[str, int]:
-        """The published columns."""
+        """Returns the published columns."""
         return {"fulfilled": self.fulfilled, "throttled": self.throttled, "faulted": self.faulted}
 
 
 class Figures:
-    """Its rows come from the settings alone: what callers write never makes one."""
+    """The figures of all call classes. Only the settings create rows; class names sent by callers do not."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.rows: dict[str, ClassFigures] = {}
-        self.unknown = ClassFigures()  # calls of classes that no settings had
-        self.current: dict[str, None] = {}  # in the order of the settings
+        self.unknown = ClassFigures()  # calls of classes without a row
+        self.current: dict[str, None] = {}  # classes in the settings, in their order
         self.relayed_of_dropped_rows = 0
-        self.cfg_accepted = 0  # configurations taken at SIGHUP
+        self.cfg_accepted = 0  # configurations applied at SIGHUP
         self.cfg_invalid = 0
         self.set_classes(classes)
 
     def set_classes(self, classes: Iterable[str]) -> None:
-        """The settings' classes now. Those that vanish keep their rows, of many the newest."""
+        """Sets the classes of the settings. Rows of removed classes are kept up to MAX_VANISHED_CLASSES."""
         self.current = dict.fromkeys(classes)
         for name in self.current:
             self.rows[name] = self.rows.pop(name) if name in self.rows else ClassFigures()
@@ -62,17 +62,17 @@
             self.relayed_of_dropped_rows += self.rows.pop(name).relayed
 
     def for_class(self, call_class: str) -> ClassFigures:
-        """The row of a class."""
+        """Returns the row of a class."""
         return self.rows.get(call_class) or self.unknown
 
     def count_result(self, call_class: str, result: CallResult) -> None:
-        """A call is owed no answer any more."""
+        """Counts the result of a call."""
         row = self.for_class(call_class)
         column = COLUMNS[result]
         setattr(row, column, getattr(row, column) + 1)
 
     def report(self, open_requests: int, listed: int, unavailable: int) -> dict[str, Any]:
-        """As the management address gives them."""
+        """Returns the figures in the form that the management address publishes."""
         rows = (self.unknown, *self.rows.values())
         return {
             "operations": {name: row.report() for name, row in self.rows.items()},
--- a/softswitch/core/lifecycle.py
+++ b/softswitch/core/lifecycle.py
@@ -1,7 +1,7 @@
-"""Whether this process takes callers: the one owner of readiness.
+"""The lifecycle phase of this process, which decides whether it accepts callers.
 
-SIP's OPTIONS, the management calls, SIGTERM and the agent ask or notify it, and keep no flag of their own. It
-reads no clock: times come in, in ms.
+SIP OPTIONS, the management calls, SIGTERM and the agent query or change the phase here; none of them stores
+its own readiness flag. Times are passed in, in ms: this module reads no clock.
 """
 
 from __future__ import annotations
@@ -9,86 +9,88 @@
 from collections.abc import Callable
 from enum import Enum
 
-# Ms after a drain. 4 s after it no caller's connection may be idle, or hold a call setup of the last 2 s.
-DRAIN_ADMITS_FOR = 2_200.0  # in which call setups are served
-DRAIN_KEEPS_CONNECTION_FOR = 3_850.0  # in which one connection stays, for releases of established calls
+# Ms after a drain. 4 s after it, no caller's connection may be idle or hold a call setup that was received in
+# the last 2 s.
+DRAIN_ADMITS_FOR = 2_200.0  # call setups are still accepted
+DRAIN_KEEPS_CONNECTION_FOR = 3_850.0  # one connection stays open for releases of established calls
 DRAIN_LATE_SETUP_FROM = 1_700.0  # call setups received after this ...
 DRAIN_LATE_SETUP_UNTIL = 3_500.0  # ... are failed after this
-NEW_CONNECTION_TIMEOUT = 500.0  # ms that a connection which is opened after a drain has for its first request
+NEW_CONNECTION_TIMEOUT = 500.0  # ms until the first request is due on a connection opened after a drain
 STOP_REJECTS_FOR = (
-    300.0  # ms before the end of a stop in which call setups are rejected: connections run idle
+    300.0  # ms before the end of a stop: call setups are rejected so that connections become idle
 )
 
 
 class Phase(Enum):
-    """What this process does with callers. The values are those of the management calls."""
+    """Phase of this process. The management calls use the values."""
 
-    STARTING = "starting"  # the listener, or the endpoint list, is not there yet
+    STARTING = "starting"  # the listener is not open or the endpoint list is not known yet
     SERVING = "serving"
-    HANDED_OVER = "handed_over"  # the successor takes the new connections
-    DRAINED = "drained"  # takes no callers until it is activated; what it has goes on
-    STOPPING = "stopping"  # for good
+    HANDED_OVER = "handed_over"  # the successor accepts the new connections
+    DRAINED = "drained"  # accepts no callers until it is activated; calls in progress continue
+    STOPPING = "stopping"  # final: the process is shutting down
 
 
 class Lifecycle:
-    """The phase, the facts that it follows from, and what each phase allows."""
+    """Holds the phase and the conditions that determine it, and answers what the phase allows."""
 
     def __init__(self) -> None:
         self.listening = False  # the callers' listener is open
         self.endpoints_known = False  # the endpoint list has been received
         self.drain_requested = False
-        self.handed_over = False  # a successor takes the new connections
-        self.phase_since = 0.0  # when the phase began
-        self.stop_deadline: float | None = None  # when a stop is over at the latest; None: none was asked for
-        self.closed = False  # the stop is over: what is owed is answered, and callers go
+        self.handed_over = False  # a successor accepts the new connections
+        self.phase_started_at = 0.0
+        self.stop_deadline: float | None = None  # latest end of a stop; None: not stopping
+        self.closed = False  # the stop is over: open calls are answered, callers disconnect
         self.on_change: list[Callable[[Phase], None]] = []
         self._phase = Phase.STARTING
 
     @property
     def phase(self) -> Phase:
-        """The phase now."""
+        """The current phase."""
         return self._phase
 
     @property
     def ready(self) -> bool:
-        """Yes only when this process takes callers."""
+        """Whether this process accepts callers."""
         return self._phase is Phase.SERVING
 
     @property
     def healthy(self) -> bool:
-        """What a health check at the callers' address learns: during a replacement the two processes are
-        one.
+        """Result of a health check at the callers' address.
+
+        During a replacement both processes count as one, so this process stays healthy after the handover.
         """
         return self.ready or (self.handed_over and not self.drain_requested)
 
     def listener_opened(self, now: float) -> None:
-        """The callers' listener is open."""
+        """Records that the callers' listener is open."""
         self.listening = True
         self._update(now)
 
     def endpoints_received(self, now: float) -> None:
-        """The endpoint list is known."""
+        """Records that the endpoint list is known."""
         self.endpoints_known = True
         self._update(now)
 
     def drain(self, now: float) -> None:
-        """Takes no callers until `activate`."""
+        """Stops accepting callers until `activate`."""
         self.drain_requested = True
         self._update(now)
 
     def activate(self, now: float) -> bool:
-        """Ends a drain. False: this process is stopping, and takes nobody any more."""
+        """Ends a drain. False: this process is stopping and accepts no more callers."""
         self.drain_requested = False
         self._update(now)
         return self._phase is not Phase.STOPPING
 
     def hand_over(self, now: float) -> None:
-        """A successor takes the new connections; those here are served on."""
+        """Leaves new connections to a successor; existing connections are still served."""
         self.handed_over = True
         self._update(now)
 
     def take_back(self, now: float) -> bool:
-        """The successor is gone. True: callers come here again."""
+        """Reverts `hand_over` when the successor has died. True: this process accepts callers again."""
         if self.stop_deadline is not None:
             return False
         self.handed_over = False
@@ -96,13 +98,13 @@
         return True
 
     def stop(self, now: float, deadline: float) -> None:
-        """Ends this process, by `deadline` at the latest; a second stop changes nothing."""
+        """Starts the stop of this process, which ends by `deadline`. A second stop changes nothing."""
         if self.stop_deadline is None:
             self.stop_deadline = deadline
             self._update(now)
 
     def close(self) -> None:
-        """The stop is over but for what is on its way: nothing more is taken in."""
+        """Ends the stop: no further call is accepted, only data in transit is still delivered."""
         self.closed = True
         self._notify()
 
@@ -110,7 +112,7 @@
         phase = self._current_phase()
         if phase is not self._phase:
             self._phase = phase
-            self.phase_since = now
+            self.phase_started_at = now
             self._notify()
 
     def _current_phase(self) -> Phase:
@@ -129,30 +131,30 @@
             listener(self._phase)
 
     def admits_calls(self, now: float) -> bool:
-        """Whether a call setup that arrives now is served.
+        """Whether a call setup that arrives now is accepted.
 
-        While stopping it is, until the stop is over: the platform still sends, and what is not answered at
-        SIGKILL is lost.
+        A stopping process accepts call setups until the end of the stop: the platform still sends them, and
+        setups unanswered at SIGKILL are lost.
         """
         if self.closed:
             return False
         if self._phase is Phase.DRAINED:
-            return now - self.phase_since < DRAIN_ADMITS_FOR
+            return now - self.phase_started_at < DRAIN_ADMITS_FOR
         if self.handed_over and self.stop_deadline is not None:
             return now < self.stop_deadline - STOP_REJECTS_FOR
         return True
 
     def keeps_last_connection(self, now: float) -> bool:
-        """Whether the last connection stays although it is idle."""
-        return self._phase is Phase.DRAINED and now - self.phase_since < DRAIN_KEEPS_CONNECTION_FOR
+        """Whether the last connection stays open although it is idle."""
+        return self._phase is Phase.DRAINED and now - self.phase_started_at < DRAIN_KEEPS_CONNECTION_FOR
 
     def setup_is_overdue(self, now: float, received_at: float) -> bool:
-        """Whether a call setup that was received then has to be failed."""
-        drained = self._phase is Phase.DRAINED and now - self.phase_since > DRAIN_LATE_SETUP_UNTIL
-        return drained and received_at - self.phase_since > DRAIN_LATE_SETUP_FROM
+        """Whether a call setup received at `received_at` must now be failed."""
+        drained = self._phase is Phase.DRAINED and now - self.phase_started_at > DRAIN_LATE_SETUP_UNTIL
+        return drained and received_at - self.phase_started_at > DRAIN_LATE_SETUP_FROM
 
     @property
     def closes_idle_connections(self) -> bool:
-        """Whether callers' connections are to close as they fall idle."""
+        """Whether callers' connections are closed when they become idle."""
         replaced = self.handed_over and self._phase is Phase.STOPPING
         return self.closed or replaced or self._phase is Phase.DRAINED
--- a/softswitch/core/policy_executor.py
+++ b/softswitch/core/policy_executor.py
@@ -1,6 +1,7 @@
 """Feeds events to the decision module and carries out its actions on the calls.
 
-Every time is in ms on the wheel's clock. The guards here hold the rules should the module ever miss one.
+All times are in ms on the clock of the timer wheel. The guards here enforce the rules even if the decision
+module violates one.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 from softswitch import interface as i
 from softswitch.core.call import (
-    RESULTS,
+    RESULT_BY_REASON,
     Call,
     CallObserver,
     CallResult,
@@ -33,15 +34,16 @@
 from softswitch.policy.controller import Controller
 from softswitch.policy.state import EJECTION_FAULTS
 
-RETRY_DELAY_SLACK = 60.0  # ms added to retry_delay: limits on sockets are 50 ms longer, and ticks are coarse
-PROCESSOR_FULL_NOTE = "cpu_full"  # notes of an engine's release
+RETRY_DELAY_SLACK = 60.0  # ms added to retry_delay: time limits on sockets are 50 ms longer, ticks are coarse
+# Notes in the release of an engine.
+PROCESSOR_FULL_NOTE = "cpu_full"
 NUMBER_BUSY_NOTE = "number_busy"
 
 Report = tuple[float, ...]  # a load report, in the order of the settings' report_fields
 
 
 class PolicyExecutor:
-    """Owner of the calls, the known endpoints, the counters and the decision module."""
+    """Owns the calls, the known endpoints, the counters and the decision module."""
 
     def __init__(self, settings: i.Settings, seed: int, wheel: TimerWheel, engines: Engines) -> None:
         self.wheel = wheel
@@ -55,8 +57,8 @@
         self.figures = Figures(self._class_names())
         self.limits = CallLimits(self.settings)
         self.controller = Controller(self.settings, seed, self.limits)
-        self.history: CallHistory | None = None  # where what happens to calls is kept
-        self.observer: CallObserver | None = None  # notified of each call, where a traffic record is kept
+        self.history: CallHistory | None = None  # the events of recent calls, if recorded
+        self.observer: CallObserver | None = None  # notified of each call, if a traffic record is written
         self.on_duration: Callable[[Duration, float], None] | None = None  # for telemetry
         self._events: deque[i.Event] = deque()
         self._handling = False
@@ -72,7 +74,7 @@
         }
 
     def start(self) -> None:
-        """Carries out what the module wants before its first event."""
+        """Carries out the actions that the decision module returns at its start."""
         self._carry_out(self.controller.start(self.wheel.now))
 
     # settings and constraints
@@ -85,9 +87,7 @@
         return [c.name for c in self.settings.classes]
 
     def apply_settings(self, settings: i.Settings) -> None:
-        """They hold from now on. A call in progress keeps its class, and the fewer attempts of old and
-        new.
-        """
+        """Applies new settings. Calls in progress keep their class and the smaller attempt limit."""
         self.settings = self._adapted(settings)
         self.figures.set_classes(self._class_names())
         for call in self.calls.values():
@@ -96,24 +96,27 @@
         self._feed(i.SettingsChanged(self.settings))
 
     def apply_slow_start_share(self, share: float) -> None:
-        """This process has that share of what the softswitch may send to warming engines."""
+        """Sets this process's share of the call setups that the softswitch may send to warming engines."""
         self.slow_start_share = share
         self.settings = replace(self.settings, slow_start_share=share)
         self._feed(i.SettingsChanged(self.settings))
 
     def apply_fleet_size(self, size: int) -> None:
-        """So many softswitches divide what is shared, from now on and until the next settings."""
+        """Sets how many softswitches divide the shared limits. The next settings replace the number."""
         self.settings = replace(self.settings, fleet_size=size)
         self._feed(i.SettingsChanged(self.settings))
 
     def apply_constraints(self, constraints: i.Constraints) -> None:
-        """These limit the module from now on."""
+        """Replaces the constraints of the decision module."""
         self._feed(i.ConstraintsChanged(constraints))
 
     # the decision module
 
     def _feed(self, event: i.Event) -> None:
-        """Events reach the module one by one in order of arrival, also those that its own actions cause."""
+        """Passes an event to the decision module.
+
+        Events are processed one at a time in order of arrival, including those that its actions cause.
+        """
         self._events.append(event)
         if self._handling:
             return
@@ -123,9 +126,9 @@
                 event = self._events.popleft()
                 try:
                     actions = self.controller.handle(self.wheel.now, event)
-                except Exception as e:  # the switch's own deadlines answer what the module forgets
+                except Exception as e:  # `_answer_overdue` answers the calls that the module misses
                     self.counters[Count.POLICY_ERRORS] += 1
-                    logger.error("decision module: {!r} at {}", e, type(event).__name__)
+                    logger.error("decision module raised {!r} while handling {}", e, type(event).__name__)
                 else:
                     self._carry_out(actions)
         finally:
@@ -161,26 +164,26 @@
         self.engines.send_setup(action.server, call)
 
     def _may_send(self, call: Call, server: str) -> bool:
-        """Guards the rules on drains, on the delay of retries and on the number of attempts."""
+        """Enforces the rules on drains, on the delay of retries and on the number of attempts."""
         in_time = self.wheel.now >= call.retry_at
         return in_time and call.attempt < call.max_attempts and self.endpoints.is_ready(server)
 
     def _cancel_attempt(self, action: i.CancelAttempt) -> None:
-        self._give_up_attempt(action.call, action.attempt, i.Outcome.CANCELLED)
+        self._abort_attempt(action.call, action.attempt, i.Outcome.CANCELLED)
 
     def _attempt_timed_out(self, call_id: str, attempt: int) -> None:
-        self._give_up_attempt(call_id, attempt, i.Outcome.TIMEOUT)
+        self._abort_attempt(call_id, attempt, i.Outcome.TIMEOUT)
 
-    def _give_up_attempt(self, call_id: str, attempt: int, outcome: i.Outcome) -> None:
+    def _abort_attempt(self, call_id: str, attempt: int, outcome: i.Outcome) -> None:
         call = self.calls.get(call_id)
-        if call is not None and call.server is not None and call.awaits(attempt):
+        if call is not None and call.server is not None and call.has_in_flight(attempt):
             self.engines.cancel_setup(call.server, call_id)
             self._attempt_ended(call, outcome)
 
     def _attempt_ended(
         self, call: Call, outcome: i.Outcome, note: str = "", report: Report = (), retry_after: float = 0.0
     ) -> None:
-        """An attempt is over and the call is still owed its answer."""
+        """Ends the attempt of a call that is still unanswered, and reports it to the decision module."""
         now, server = self.wheel.now, call.server or ""
         self.counters[CountFamily.ATTEMPTS + outcome.value] += 1
         if self.history:
@@ -205,40 +208,40 @@
     # the end of calls
 
     def _fail(self, call_id: str, reason: FailureReason, retry_after: float) -> None:
-        """The call is answered as not established; an attempt in flight is given up.
+        """Answers a call as not established and cancels an attempt in flight.
 
-        The decision module and the guard can't know that an attempt waits in vain for its connection: here
-        the end is named by what was written.
+        The decision module and the overdue guard cannot know that an attempt still waits for its connection.
+        So a failure becomes a rejection here if nothing of the call was written to an engine.
         """
         call = self.calls.get(call_id)
         if call is not None and not call.established:
             if reason is FailureReason.FAILED and not call.written:
                 reason, retry_after = FailureReason.REJECTED, self.settings.retry_after
             self._answer_failed(call, reason, retry_after)
-            self._give_up_rest(call, i.Outcome.TIMEOUT)
+            self._cancel_remaining_attempt(call, i.Outcome.TIMEOUT)
 
-    def _fail_without_module(self, call: Call, reason: FailureReason, retry_after: float = 0.0) -> None:
-        """As `_fail`, for a call that the module may still have."""
+    def _fail_and_forget(self, call: Call, reason: FailureReason, retry_after: float = 0.0) -> None:
+        """Like `_fail`, but also removes the call from the decision module."""
         self._fail(call.id, reason, retry_after)
         self._feed(i.CallerLeft(call.id))
 
     def _answer_failed(self, call: Call, reason: FailureReason, retry_after: float) -> None:
-        """The one final answer of a call that is not established."""
+        """Sends the one final answer of a call that is not established, and removes the call."""
         self.counters[reason.value] += 1
         if self.history:
             self.history.note(call.id, "turned away", reason.value)
-        self._settle(call, RESULTS[reason])
+        self._settle(call, RESULT_BY_REASON[reason])
         self._remove(call)
         call.caller.call_failed(call.id, reason, retry_after)
 
-    def _give_up_rest(self, call: Call, outcome: i.Outcome) -> None:
-        """The call has its answer, or needs none: an attempt still in flight is given up."""
+    def _cancel_remaining_attempt(self, call: Call, outcome: i.Outcome) -> None:
+        """Cancels an attempt that is still in flight for a call that needs no further answer."""
         if call.server is not None:
             self.engines.cancel_setup(call.server, call.id)
-            self._end(call, outcome)
+            self._report_end(call, outcome)
 
-    def _end(self, call: Call, outcome: i.Outcome, report: Report = ()) -> None:
-        """The last attempt of a call that is removed, or the call that it established, has ended."""
+    def _report_end(self, call: Call, outcome: i.Outcome, report: Report = ()) -> None:
+        """Reports the end of a removed call, or of its last attempt, to observer and decision module."""
         now = self.wheel.now
         if call.established_at is not None:
             self._measure(Duration.CALL, now - call.established_at)
@@ -251,7 +254,7 @@
         )
 
     def _settle(self, call: Call, result: CallResult) -> None:
-        """The one place where a call ceases to be owed an answer."""
+        """Records the final result of a call setup; called once for each accepted call."""
         self.figures.count_result(call.request.call_class, result)
         if self.observer:
             self.observer.call_settled(call, result)
@@ -261,11 +264,11 @@
         self.predecessor.call_ended(self.wheel.now, call.id)
 
     def _answer_overdue(self, call_id: str) -> None:
-        """Guards the answer in time, whatever the module does."""
+        """Answers a call that the decision module has not answered in time."""
         call = self.calls.get(call_id)
         if call is not None and not call.established:
             self.counters[Count.GUARD_OVERDUE] += 1
-            self._fail_without_module(call, FailureReason.FAILED)
+            self._fail_and_forget(call, FailureReason.FAILED)
 
     def _measure(self, duration: Duration, ms: float) -> None:
         if self.on_duration:
@@ -274,18 +277,18 @@
     # figures
 
     def update_counters(self) -> None:
-        """Brings the counters up to date that the limits keep themselves."""
+        """Copies the counters that the call limits maintain."""
         self.counters[Count.BUSY_NUMBER_REJECTED] = self.limits.numbers.rejected
         self.counters[Count.BUSY_NUMBER_PROBES] = self.limits.numbers.probes
         self.counters[Count.OVER_QUOTA] = self.limits.tenants.over
 
     def report_figures(self) -> dict[str, Any]:
-        """The figures for operators."""
+        """Returns the figures for operators."""
         listed = self.endpoints.listed()
         return self.figures.report(len(self.calls), len(listed), self._unavailable(listed))
 
     def _unavailable(self, servers: list[str]) -> int:
-        """How many of these engines get no calls: draining, ejected, or closed as they asked."""
+        """Counts the engines that get no calls: draining, ejected, or closed at their own request."""
         gates = [self.controller.gates.get(server) for server in servers]
         ready = [g for g in gates if g is not None and g.state is i.EndpointState.READY]
         used = [g for g in ready if g.faults < EJECTION_FAULTS and self.wheel.now >= g.closed_until]
--- a/softswitch/core/release_delivery.py
+++ b/softswitch/core/release_delivery.py
@@ -1,17 +1,16 @@
-"""Releases that callers are owed: who was sent one on which connection, and whether it was acknowledged.
+"""Queue of the releases to be delivered to callers, with the connection and acknowledgement of each.
 
-A release has one owner, this queue, from the moment the call is over until its caller has acknowledged it, or
-its time is over:
+The queue owns a release from the end of the call until the caller has acknowledged the release or it has
+expired:
 
-    pending -> sent on a connection -> acknowledged   by the caller, or it ended the call itself
+    pending -> sent on a connection -> acknowledged   by the caller, or the caller ended the call itself
     sent    -> sent on another connection             the first one closed, or RETRY_AFTER passed
-    pending, with no connection                       waits for the next one on which a caller is active
-    any     -> dropped                                EXPIRES_AFTER the call was over, or at the bound
+    pending, with no connection                       waits for the next connection with an active caller
+    any     -> dropped                                EXPIRES_AFTER the end of the call, or at max_releases
 
-An acknowledgement is optional on the wire. So its absence alone is taken for a loss only where callers of
-this listener acknowledge at all; the close of a connection is always taken for one, as whoever closed it may
-have had the release unread. A release that comes twice is harmless: calls are known by their id. Times are in
-ms.
+Acknowledgements are optional in the protocol. A missing one counts as a loss only if callers of this listener
+send acknowledgements at all. The close of a connection always counts as a loss, since the release may still
+have been unread. A duplicate release is harmless: calls are identified by their id. Times are in ms.
 """
 
 from __future__ import annotations
@@ -20,32 +19,32 @@
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 
-EXPIRES_AFTER = 8_000.0  # ms after its end in which a call's release is still of use
-RETRY_AFTER = 300.0  # ms without an acknowledgement; the caller is to know within 1 s
-MAX_TRANSMISSIONS = 3  # of one release for want of an acknowledgement
-MAX_RELEASES = 4_096
+EXPIRES_AFTER = 8_000.0  # ms after the end of the call; a later release is of no use
+RETRY_AFTER = 300.0  # ms without an acknowledgement; the release must reach the caller within 1 s
+MAX_TRANSMISSIONS = 3  # of one release while it is not acknowledged
+MAX_RELEASES = 4_096  # in the queue; the oldest is dropped beyond this
 
 Connection = Hashable
 
 
 @dataclass(slots=True)
 class ConnectionState:
-    """A callers' connection as far as releases are concerned."""
+    """State of a caller's connection that matters for the delivery of releases."""
 
-    call_established: bool = False  # a call was established here
-    last_active: float = 0.0  # when its caller last sent what only callers send
-    backpressured: bool = False  # its caller does not read
-    unacknowledged: dict[str, None] = field(default_factory=dict)  # releases that were sent here
+    call_established: bool = False  # whether a call was established on this connection
+    last_active: float = 0.0  # time of the last message that only a caller sends
+    backpressured: bool = False  # the caller has stopped reading
+    unacknowledged: dict[str, None] = field(default_factory=dict)  # releases sent on this connection
 
 
 @dataclass(slots=True)
 class PendingRelease:
-    """One release."""
+    """A release that is not yet acknowledged."""
 
     number: str
     cause: int
-    ended_at: float  # when the call was over
-    connection: Connection | None = None  # where it was sent last
+    ended_at: float  # end of the call
+    connection: Connection | None = None  # of the last transmission; None: to be sent
     sent_at: float = 0.0
     transmissions: int = 0
     tried: set[Connection] = field(default_factory=set)
@@ -53,7 +52,7 @@
 
 @dataclass(slots=True)
 class ReleaseMessage:
-    """A release to be written to a connection now."""
+    """A release for the caller of the queue to write to a connection."""
 
     connection: Connection
     call: str
@@ -62,24 +61,24 @@
 
 
 class ReleaseQueue:
-    """Owner of all releases that a listener's callers are owed."""
+    """Owns all releases that are to be delivered to the callers of one listener."""
 
     def __init__(self, max_releases: int = MAX_RELEASES) -> None:
         self.max_releases = max_releases
-        self.pending: OrderedDict[str, PendingRelease] = OrderedDict()  # by call, the longest over first
+        self.pending: OrderedDict[str, PendingRelease] = OrderedDict()  # by call, the earliest end first
         self.connections: dict[
             Connection, ConnectionState
-        ] = {}  # where a caller was active; not closing ones
-        self.callers_acknowledge = False  # whether any caller ever acknowledged a release
-        self.unsent = 0  # dropped, never sent
-        self.unacknowledged = 0  # dropped, sent but not acknowledged
-        self.moved = 0  # sent again as their connection closed
-        self.retried = 0  # sent again for want of an acknowledgement
+        ] = {}  # with an active caller; closing ones excluded
+        self.callers_acknowledge = False  # whether any caller has ever acknowledged a release
+        self.unsent = 0  # releases dropped without having been sent
+        self.unacknowledged = 0  # releases dropped after having been sent
+        self.moved = 0  # releases sent again because their connection closed
+        self.retried = 0  # releases sent again because no acknowledgement came
 
     # connections
 
     def caller_active(self, now: float, connection: Connection) -> list[ReleaseMessage]:
-        """A caller is active here: what waits for a connection may go out."""
+        """Records activity of a caller. Returns the releases that were waiting for a connection."""
         self._state_of(connection).last_active = now
         if not self.pending:
             return []
@@ -87,7 +86,7 @@
         return [self._send(now, call, connection) for call in waiting]
 
     def call_established(self, connection: Connection) -> None:
-        """A call is established that was set up here."""
+        """Records that a call was established on this connection."""
         self._state_of(connection).call_established = True
 
     def _state_of(self, connection: Connection) -> ConnectionState:
@@ -97,12 +96,15 @@
         return state
 
     def set_backpressured(self, connection: Connection, backpressured: bool) -> None:
-        """Its caller has stopped reading, or reads again."""
+        """Records whether the caller has stopped reading."""
         if connection in self.connections:
             self.connections[connection].backpressured = backpressured
 
     def connection_closed(self, now: float, connection: Connection) -> list[ReleaseMessage]:
-        """It is over, or its caller can read no more: what was not acknowledged goes out elsewhere."""
+        """Removes a connection. Returns its unacknowledged releases for another connection, if there is one.
+
+        Also called when the connection is still open but its caller can no longer read.
+        """
         closed = self.connections.pop(connection, None)
         if closed is None:
             return []
@@ -122,7 +124,10 @@
     def add(
         self, now: float, call: str, number: str, cause: int, connection: Connection | None
     ) -> list[ReleaseMessage]:
-        """An established call is over. `connection`: where it was set up. Empty: no connection is open."""
+        """Adds the release of an established call, which was set up on `connection`.
+
+        Returns the message to write; empty if no connection is open.
+        """
         if call in self.pending:
             return []
         if len(self.pending) >= self.max_releases:
@@ -133,23 +138,21 @@
         return [self._send(now, call, target)] if target is not None else []
 
     def acknowledge(self, call: str, by_answer: bool = True) -> bool:
-        """The caller knows: it answered the release, or ended the call itself. False: none was pending."""
+        """Removes a release that the caller answered, or whose call it ended. False: none was pending."""
         if by_answer and call in self.pending:
             self.callers_acknowledge = True
         return self._remove(call) is not None
 
     def without_connection(self) -> list[tuple[str, PendingRelease]]:
-        """Releases that wait for a connection, the longest over first."""
+        """Returns the releases that wait for a connection, the earliest end first."""
         return [(call, release) for call, release in self.pending.items() if release.connection is None]
 
     def hand_over(self, call: str) -> None:
-        """Somebody else notifies the caller from now on."""
+        """Removes a release whose delivery is taken over by another process."""
         self._remove(call)
 
     def advance(self, now: float) -> list[ReleaseMessage]:
-        """Time went on: what has expired is dropped, what was not acknowledged goes out on another
-        connection.
-        """
+        """Drops expired releases. Returns the unacknowledged ones that are due on another connection."""
         while self.pending and now - next(iter(self.pending.values())).ended_at > EXPIRES_AFTER:
             self._drop(next(iter(self.pending)))
         if not self.callers_acknowledge or len(self.connections) < 2:
@@ -170,7 +173,7 @@
         return now - release.sent_at >= RETRY_AFTER
 
     def _best_connection(self, excluded: set[Connection] | None = None) -> Connection | None:
-        """One whose caller reads; of these one where calls were established; of these the last one active."""
+        """Prefers connections that are read, then those with established calls, then the latest activity."""
         candidates = [
             ((not state.backpressured, state.call_established, state.last_active), connection)
             for connection, state in self.connections.items()
--- a/softswitch/core/switch.py
+++ b/softswitch/core/switch.py
@@ -1,8 +1,8 @@
-"""The switch: takes calls from callers, and what engines and the endpoint list say, whatever wire they came
-by.
+"""The switch: processes call setups, engine messages and endpoint list updates, independent of the protocol.
 
-Callers hand call setups in and are told of their answers through `call.Caller`; engines are reached through
-`call.Engines`. Decisions are the module's (`policy_executor`). Every time is in ms on the wheel's clock.
+Callers submit call setups and receive the answers through `call.Caller`; engines are reached through
+`call.Engines`. The decision module makes the routing decisions (`policy_executor`). All times are in ms on
+the clock of the timer wheel.
 """
 
 from __future__ import annotations
@@ -28,18 +28,19 @@
 from softswitch.core.policy_executor import PROCESSOR_FULL_NOTE, PolicyExecutor, Report
 from softswitch.core.timer_wheel import TimerWheel
 
-ANSWER_MARGIN = 40.0  # ms that the module is told less than the caller has: its answer must still travel
-GUARD_DELAY = 15.0  # ms after the module's deadline at which the switch itself gives a missing answer
+# Ms by which the decision module's deadline precedes the caller's: the answer still has to reach the caller.
+ANSWER_MARGIN = 40.0
+GUARD_DELAY = 15.0  # ms after the module's deadline until the switch itself sends a missing answer
 
 
 class Switch(PolicyExecutor):
-    """The calls of one softswitch process, from their setup to their end."""
+    """Handles all calls of one softswitch process, from setup to end."""
 
     def __init__(self, settings: i.Settings, seed: int, wheel: TimerWheel, engines: Engines) -> None:
         super().__init__(settings, seed, wheel, engines)
         self.lifecycle = Lifecycle()
         self.peer_process: PeerProcess | None = None  # while one process replaces the other
-        # Called with (call, cause): an engine ended a call that may be the predecessor's.
+        # Called with (call, cause) when an engine releases a call that may belong to the predecessor.
         self.on_predecessor_release: Callable[[str, int], None] | None = None
 
     # from callers
@@ -47,21 +48,27 @@
     def request_setup(
         self, request: SetupRequest, caller: Caller, waited: float = 0.0
     ) -> FailureReason | None:
-        """Takes a call in, which waited so many ms. None: its one answer comes through the caller."""
+        """Accepts and routes a call whose setup waited `waited` ms in this process.
+
+        Returns None if the call was accepted: its one answer is sent through `caller`.
+        """
         reason = self.accept_call(request, caller, waited)
         if reason is None:
             self.route_call(request.call)
         return reason
 
     def accept_call(self, request: SetupRequest, caller: Caller, waited: float = 0.0) -> FailureReason | None:
-        """Takes a call in, on which nothing is decided before `route_call`."""
+        """Accepts a call without passing it to the decision module; `route_call` does that.
+
+        Returns the reason if the call is not accepted.
+        """
         self.counters[Count.CALL_SETUPS] += 1
         if request.call in self.calls:
             self.counters[Count.DUPLICATE_CALL_SETUPS] += 1
             return FailureReason.DUPLICATE
         if not self.lifecycle.admits_calls(self.wheel.now):
             return self.reject_unaccepted(request, FailureReason.DRAINED)
-        if not self.calls.has_room_for(request):
+        if not self.calls.has_capacity_for(request):
             return self.reject_unaccepted(request)
         call = self._new_call(request, caller, waited)
         self.calls.add(call)
@@ -76,10 +83,10 @@
         return None
 
     def _new_call(self, request: SetupRequest, caller: Caller, waited: float) -> Call:
-        """The caller waits from its last byte on, not from our reading it.
+        """Creates a call. Its deadline counts from the arrival of the request's last byte, not from its read.
 
-        After a standstill, call setups that had waited unread were answered too late; each is taken to have
-        come as early as it can have.
+        After a stall of the process, call setups that had waited unread were answered too late. So each
+        request is assumed to have arrived at the earliest possible time.
         """
         call_class = self.controller.classes.get(request.call_class)
         remaining = max(0.0, request.timeout - max(waited, self.wheel.lag))
@@ -96,14 +103,14 @@
     def reject_unaccepted(
         self, request: SetupRequest, reason: FailureReason = FailureReason.TABLE_FULL
     ) -> FailureReason:
-        """A call that is rejected before it is taken in; whoever handed it in answers it."""
+        """Counts a call that is rejected without being accepted. The server that received it answers it."""
         self.counters[reason.value.replace("_", " ")] += 1
         self.figures.for_class(request.call_class).taken += 1
         self.figures.count_result(request.call_class, CallResult.REJECTED)
         return reason
 
     def route_call(self, call_id: str) -> None:
-        """A call that was accepted goes to the module, if its caller still waits."""
+        """Passes an accepted call to the decision module unless the call has ended meanwhile."""
         call = self.calls.get(call_id)
         if call is not None and call.state is CallState.ACCEPTED:
             call.transition(CallState.ROUTING)
@@ -111,14 +118,14 @@
             self._feed(call.setup_event(timeout))
 
     def abandon_call(self, call_id: str, by: Caller) -> bool:
-        """The caller stopped waiting. No answer is owed then; False: it has no such call."""
+        """Ends a call whose caller stopped waiting; no answer is sent. False: the caller has no such call."""
         call = self.calls.get(call_id)
         if self.history:
             self.history.note(call_id, "given up by its caller")
         if call is None or call.caller is not by:
             self.counters[Count.UNKNOWN_ABANDONED] += 1
             return False
-        if call.established:  # the answer crossed it: the caller does not want the call any more
+        if call.established:  # the cancel crossed the answer: the established call is released
             self.release_call(call_id, ReleaseCause.NORMAL, by)
             call.caller.call_released(call_id, ReleaseCause.NORMAL)
             return True
@@ -126,11 +133,11 @@
         self._settle(call, CallResult.ABANDONED)
         self._remove(call)
         self._feed(i.CallerLeft(call_id))
-        self._give_up_rest(call, i.Outcome.CANCELLED)
+        self._cancel_remaining_attempt(call, i.Outcome.CANCELLED)
         return True
 
     def release_call(self, call_id: str, cause: int, by: Caller) -> bool:
-        """The caller ends a call, established or still being set up; False: it has no such call."""
+        """Ends a call at its caller's request, established or not. False: that caller has no such call."""
         call = self.calls.get(call_id)
         if self.history:
             self.history.note(call_id, "released by its caller", str(cause))
@@ -149,11 +156,12 @@
         self._remove(call)
         if call.server is not None:
             self.engines.send_release(call.server, call.id, cause)
-        self._end(call, i.Outcome.CANCELLED)
+        self._report_end(call, i.Outcome.CANCELLED)
 
     def _release_unknown(self, call_id: str, cause: int) -> bool:
-        """A caller's release of a call that the peer process, or the predecessor, may have; False:
-        neither.
+        """Passes on a caller's release of a call that the peer process or the predecessor may have.
+
+        Returns False if neither can have the call.
         """
         if self.peer_process and call_id not in self.predecessor.ended:
             self.peer_process.caller_released(call_id, cause)
@@ -161,7 +169,10 @@
         return self._release_at_every_engine(call_id, cause)
 
     def _release_at_every_engine(self, call_id: str, cause: int) -> bool:
-        """A caller's release of a call that the predecessor may have; False: it can't be."""
+        """Sends a caller's release of a call that the predecessor may have to every engine.
+
+        Returns False if the predecessor cannot have the call, or at the bound on such releases.
+        """
         if not self._may_be_predecessors(call_id) or not self.predecessor.may_broadcast(
             self.wheel.now, call_id
         ):
@@ -169,21 +180,21 @@
         self.predecessor.broadcasts += 1
         self.counters[Count.PREDECESSOR_RELEASES] += 1
         self.predecessor.call_ended(self.wheel.now, call_id)
-        for server in self.endpoints.listed():  # which of them has it, the predecessor knew
+        for server in self.endpoints.listed():  # only the predecessor knew which engine has the call
             self.engines.send_release(server, call_id, cause)
         return True
 
     def fail_call(self, call_id: str, by: Caller) -> None:
-        """The call can't be kept though its caller still waits: it is answered, and all of it is over."""
+        """Fails a call setup that cannot continue although its caller still waits, and ends its attempt."""
         call = self.calls.get(call_id)
         if call is not None and call.caller is by and not call.established:
             reason = FailureReason.FAILED if call.written else FailureReason.REJECTED
-            self._fail_without_module(call, reason)
+            self._fail_and_forget(call, reason)
 
     # from the peer process
 
     def release_from_peer(self, call_id: str, cause: int, by_caller: bool) -> None:
-        """A release that came to the other process, from a caller or from an engine."""
+        """Handles a release that a caller or an engine sent to the peer process."""
         call = self.calls.get(call_id)
         if call is None:
             self._release_unknown_to_both(call_id, cause, by_caller)
@@ -195,15 +206,15 @@
             self.released_by_engine(call.server, call_id, cause)
 
     def _release_unknown_to_both(self, call_id: str, cause: int, by_caller: bool) -> None:
-        """Neither process has the call: one that ended before both may have had it.
+        """Handles a release of a call that neither process has; an earlier process may have set it up.
 
-        The peer has passed it on and does nothing more, so this is the last place that can.
+        The peer process takes no further action after passing the release on, so it is handled here.
         """
         if by_caller:
             passed_on = self._release_at_every_engine(call_id, cause)
         else:
             passed_on = self._notify_predecessor_callers(call_id, cause)
-            if passed_on and self.peer_process is not None:  # its caller may be connected there
+            if passed_on and self.peer_process is not None:  # the caller may be connected to the peer
                 self.peer_process.release_undeliverable(call_id, cause)
         if not passed_on:
             self.counters[Count.LATE_RELEASES] += 1
@@ -211,13 +222,14 @@
     # from the quote engines
 
     def answered_by_engine(self, server: str, call_id: str, description: bytes) -> None:
-        """The engine answered an attempt: the call is established."""
+        """Establishes a call whose attempt was answered by its engine."""
         call = self.calls.get(call_id)
         if self.history:
             self.history.note(call_id, "answer heard", server)
         if call is None or call.server != server:
-            # It crossed our cancelling, which frees its circuits; or it is a second copy, or of no call of
-            # ours. Guards against an engine that has us write a release for whatever id it thinks up.
+            # The answer crossed our cancel, which frees its circuits; or it is a duplicate, or names no call
+            # of this process. No release is sent in reply: otherwise an engine could make the switch write
+            # releases for arbitrary ids.
             self.counters[Count.LATE_ANSWERS] += 1
             return
         if call.established:
@@ -240,9 +252,9 @@
         report: Report = (),
         retry_after: float = 0.0,
     ) -> None:
-        """The engine rejected an attempt, or ended an established call.
+        """Handles an engine's release: it rejects an attempt or ends an established call.
 
-        `retry_after`: ms that a full processor asks to be left alone; 0: it does not say.
+        `retry_after`: ms for which an engine with a full processor wants no new calls; 0: not specified.
         """
         call = self.calls.get(call_id)
         if self.history:
@@ -250,7 +262,7 @@
         if call is None and self._pass_on_release(call_id, cause):
             return
         if call is None or call.server != server:
-            self.counters[Count.LATE_RELEASES] += 1  # such as the second copy on the next connection
+            self.counters[Count.LATE_RELEASES] += 1  # for example a retransmission on the next connection
         elif call.established:
             self._ended_by_engine(call, cause, report)
         elif cause == ReleaseCause.NORMAL:
@@ -259,8 +271,9 @@
             self._attempt_released(call, cause, note, report, retry_after)
 
     def _pass_on_release(self, call_id: str, cause: int) -> bool:
-        """An engine's release of a call that the peer process, or the predecessor, may have; False:
-        neither.
+        """Passes on an engine's release of a call that the peer process or the predecessor may have.
+
+        Returns False if neither can have the call.
         """
         if self.peer_process and call_id not in self.predecessor.ended:
             self.peer_process.engine_released(call_id, cause)
@@ -268,10 +281,14 @@
         return self._notify_predecessor_callers(call_id, cause)
 
     def _notify_predecessor_callers(self, call_id: str, cause: int) -> bool:
-        """An engine's release of a call that the predecessor may have; False: it can't be."""
+        """Passes an engine's release of a call that the predecessor may have to its callers.
+
+        Returns False if the predecessor cannot have the call.
+        """
         if self.on_predecessor_release is None or not self._may_be_predecessors(call_id):
             return False
-        # Guards the callers of the predecessor, which stopped or died while their calls were established.
+        # Without this, callers whose predecessor process stopped or died would not be notified that
+        # their established calls have ended.
         self.counters[Count.PREDECESSOR_RELEASES] += 1
         self.predecessor.call_ended(self.wheel.now, call_id)
         self.on_predecessor_release(call_id, cause)
@@ -285,18 +302,19 @@
         self.counters[Count.CALLS_ENDED if normal else Count.CALLS_CUT] += 1
         self._remove(call)
         call.caller.call_released(call.id, cause)
-        self._end(call, i.Outcome.OK if normal else i.Outcome.RESET, report)
+        self._report_end(call, i.Outcome.OK if normal else i.Outcome.RESET, report)
 
     def _ended_before_answer(self, call: Call, report: Report) -> None:
-        """It was established at the engine and has come to its end; its answer is late, or lost.
+        """Fails a call that was established at the engine and ended there before its answer arrived.
 
-        Set up again under the same id it would be established for a caller to whom it counts as over.
+        The answer is late or lost. A retry under the same id would establish a call that already counts as
+        ended for the caller.
         """
         self.counters[Count.ENDED_BEFORE_ANSWER] += 1
         self.counters[CountFamily.ATTEMPTS + i.Outcome.RESET.value] += 1
         self._answer_failed(call, FailureReason.FAILED, 0.0)
         self._feed(i.CallerLeft(call.id))
-        self._end(call, i.Outcome.RESET, report)
+        self._report_end(call, i.Outcome.RESET, report)
 
     def _attempt_released(
         self, call: Call, cause: int, note: str, report: Report, retry_after: float
@@ -314,11 +332,11 @@
         self._attempt_ended(call, outcome, note, report, retry_after)
 
     def attempt_unreachable(self, server: str, call_id: str) -> None:
-        """No connection came up: nothing of the attempt has run."""
+        """Ends an attempt for which no connection could be opened; it has not run."""
         self._attempt_lost(server, call_id, i.Outcome.CONNECT_FAILED)
 
     def attempt_disconnected(self, server: str, call_id: str) -> None:
-        """The connection of an attempt ended: the attempt may have run."""
+        """Ends an attempt whose connection closed; it may have run."""
         self._attempt_lost(server, call_id, i.Outcome.RESET)
 
     def _attempt_lost(self, server: str, call_id: str, outcome: i.Outcome) -> None:
@@ -327,30 +345,32 @@
             self._attempt_ended(call, outcome)
 
     def attempt_written(self, call_id: str) -> None:
-        """An attempt of this call was written completely to its engine."""
+        """Records that an attempt of this call was written completely to its engine."""
         call = self.calls.get(call_id)
         if call is not None:
             call.written = True
             self.figures.for_class(call.request.call_class).relayed += 1
 
     def engine_died(self, server: str, before: float = inf) -> None:
-        """The engine is down or silent for too long: calls established there (before a time) are cut."""
+        """Releases the calls established (before a time) at an engine that is down or silent for too long."""
         for call in self.calls.established_at(server, before):
             self.released_by_engine(server, call.id, ReleaseCause.RECOVERY_ERROR)
 
     def load_reported(self, server: str, healthy: bool, report: Report) -> None:
-        """An engine told its state unasked, or answered a probe."""
+        """Passes on a load report that an engine sent unrequested or in answer to a probe."""
         self._feed(i.LoadReported(server, i.Outcome.OK if healthy else i.Outcome.ERROR, report))
 
     # from the endpoint list
 
     def endpoints_changed(self, update: i.EndpointsChanged) -> None:
-        """The endpoint list, or a part of it, is this now."""
+        """Applies an update of the endpoint list, complete or incremental."""
         self.counters[Count.ENDPOINT_UPDATES] += 1
         self.endpoints.mark_unlisted(update)
         for endpoint in update.endpoints:
             if self.endpoints.restarted(endpoint):
-                self.engine_died(endpoint.server, endpoint.started_at)  # the calls of the old process are cut
+                self.engine_died(
+                    endpoint.server, endpoint.started_at
+                )  # calls of the engine's old process are lost
             self.endpoints.update(endpoint)
         self._feed(update)
         for server in self.endpoints.not_ready():
@@ -362,17 +382,18 @@
     # the end of this process
 
     def answer_all(self) -> None:
-        """At the end of a planned stop: what is still owed an answer gets one."""
+        """Answers all calls that are not established, at the end of a planned stop."""
         for call in list(self.calls.values()):
             if not call.established:
                 safe = call.idempotent or not call.written
                 reason = FailureReason.REJECTED if safe else FailureReason.FAILED
-                self._fail_without_module(call, reason, self.settings.max_retry_after)
+                self._fail_and_forget(call, reason, self.settings.max_retry_after)
 
-    def cut_calls_that_end_here(self) -> None:
-        """At the very end: calls that no next process can carry on are released, and both sides are told so.
+    def cut_calls_that_cannot_survive(self) -> None:
+        """Releases the established calls that no successor can continue, at their callers and engines.
 
-        The others stay established at their engines, and their releases come to the next process.
+        Runs last in a planned stop. The other calls stay established at their engines, and their releases go
+        to the successor.
         """
         for call in list(self.calls.values()):
             if call.established and not call.caller.calls_survive:
--- a/softswitch/core/timer_wheel.py
+++ b/softswitch/core/timer_wheel.py
@@ -1,4 +1,4 @@
-"""Timers in coarse ticks. The clock is injected, and stands still between two readings of it."""
+"""Timers with coarse ticks. The clock is injected, and its time is constant between two readings."""
 
 from __future__ import annotations
 
@@ -13,26 +13,28 @@
 
 
 class TimerWheel:
-    """All events between two ticks have the same time, as in a batch of the simulator's. Times are in ms.
+    """Runs timers tick by tick. All events between two ticks have the same time, as in a simulator batch.
 
-    Ticks at which nothing is due need not be run: `next_due` tells the next one that has timers, `on_earlier`
-    is called when a new timer comes before it, and `read_after_idle` reads the clock when something arrives
-    meanwhile.
+    Ticks without due timers can be skipped: `next_due` is the next tick with timers, `on_earlier` is called
+    when a new timer precedes it, and `read_after_idle` reads the clock when input arrives in between. Times
+    are in ms.
     """
 
     def __init__(self, tick: float, clock: Callable[[], float]) -> None:
         self.tick = tick
         self.now = clock()
-        self.lag = 0.0  # how long before `now` something may have arrived unseen
-        self.idle_until = self.now  # no tick is run before this time
-        self.on_earlier: Callable[[float], None] | None = None  # called with a time before all others
+        self.lag = 0.0  # how long before `now` input may have arrived without being read
+        self.idle_until = self.now  # no tick runs before this time
+        self.on_earlier: Callable[[float], None] | None = (
+            None  # called with a due time that precedes all others
+        )
         self._clock = clock
-        self._last_tick = int(self.now // tick)  # number of the last tick that was run
-        self._timers: dict[int, list[Timer]] = {}  # by the number of their tick
-        self._ticks: list[int] = []  # a heap of these numbers
+        self._last_tick = int(self.now // tick)  # number of the last tick that ran
+        self._timers: dict[int, list[Timer]] = {}  # by tick number
+        self._ticks: list[int] = []  # heap of the tick numbers in `_timers`
 
     def call_at(self, when: float, function: Callable[..., object], *args: Any) -> None:
-        """Calls `function` at the first tick at or after `when`, and never within the tick being run."""
+        """Calls `function` at the first tick at or after `when`, but never in the tick that is running."""
         tick = max(ceil(when / self.tick), self._last_tick + 1)
         timers = self._timers.get(tick)
         if timers is not None:
@@ -44,7 +46,7 @@
             self.on_earlier(tick * self.tick)
 
     def call_after(self, delay: float, function: Callable[..., object], *args: Any) -> None:
-        """Calls `function` at the first tick `delay` ms from now or later."""
+        """Calls `function` at the first tick that is at least `delay` ms from now."""
         self.call_at(self.now + delay, function, *args)
 
     @property
@@ -53,9 +55,9 @@
         return self._ticks[0] * self.tick if self._ticks else None
 
     def read_clock(self) -> float:
-        """Reads the clock; what arrives from now on has this time.
+        """Reads the clock; events get this time until the next reading.
 
-        Read late, it shows a standstill: what is taken in next may have waited since the last reading.
+        A late reading indicates a stall: input that is read next may have waited since the last reading.
         """
         self._read()
         self.idle_until = self.now
@@ -64,27 +66,27 @@
     def _read(self) -> None:
         before = self.now
         self.now = max(before, self._clock())
-        # not even the end of the idle time was seen
+        # the reading is late even for the end of the idle time
         stalled = self.now - max(before, self.idle_until) > self.tick
         self.lag = max(0.0, self.now - before - self.tick) if stalled else 0.0
 
     def read_after_idle(self) -> None:
-        """Reads the clock as something arrives during an idle time: it came only now, unless that is over."""
+        """Reads the clock when input arrives in an idle time; until its end, input is read without delay."""
         if self.idle_until > self.now + self.tick:
             self._read()
 
     def elapsed_since_read(self) -> float:
-        """Ms since the clock was last read: how long the turn of the event loop has taken so far."""
+        """Returns the ms since the last reading, which is the duration of the event loop's turn so far."""
         return self._clock() - self.now
 
     def run_due(self) -> None:
-        """Runs the timers that are due at the time last read, in order."""
+        """Runs the timers that are due at the time of the last reading, in order."""
         last = int(self.now // self.tick)
         while self._ticks and self._ticks[0] <= last:
             self._last_tick = heappop(self._ticks)
             for function, args in self._timers.pop(self._last_tick):
                 try:
                     function(*args)
-                except Exception as e:  # one timer's fault must not stop the others
-                    logger.error("timer {}: {!r}", getattr(function, "__qualname__", function), e)
+                except Exception as e:  # a failing timer must not stop the others
+                    logger.error("timer {} raised {!r}", getattr(function, "__qualname__", function), e)
         self._last_tick = max(self._last_tick, last)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -239,7 +239,7 @@
     b.calls_survive = True
     b.call(1)
     b.switch.answered_by_engine(A, ONE, b"d")
-    b.switch.cut_calls_that_end_here()
+    b.switch.cut_calls_that_cannot_survive()
     assert not b.heard("call_released")
     assert not b.heard("send_release")
 
@@ -250,7 +250,7 @@
     b.call(2)
     b.switch.answered_by_engine(A, f"{2:016x}", b"d")
     b.switch.answer_all()
-    b.switch.cut_calls_that_end_here()
+    b.switch.cut_calls_that_cannot_survive()
     assert b.heard("call_failed") == [("call_failed", ONE, FailureReason.REJECTED)]
     assert b.heard("call_released") == [("call_released", f"{2:016x}", 41)]
     assert not b.switch.calls
