--- a/softswitch/process/application.py
+++ b/softswitch/process/application.py
@@ -1,4 +1,4 @@
-"""Wires the parts of one softswitch together and starts them."""
+"""Creates, connects and starts the components of one softswitch process."""
 
 from __future__ import annotations
 
@@ -35,45 +35,51 @@
 from softswitch.process.ticker import Ticker
 
 VERSION = "0.1.0"
-CALLS_PER_MB = 200  # calls known at once, for each MB that the configuration allows
+CALLS_PER_MB = 200  # limit on calls at once, for each MB of memory that the configuration allows
 DESCRIPTION_BYTES_PER_MB = 1 << 17
 MAX_CONNECTIONS, MIN_CONNECTIONS = 1_000, 16
-MIN_RESERVED_DESCRIPTORS = 48  # kept for engines, the board and the program itself ...
-RESERVED_DESCRIPTORS_DIVISOR = 8  # ... or this part of all, if that is more
-CONTROL_DIVISOR = 4  # part of the connections that the call-control API has
+# File descriptors reserved for engines, the endpoint watch and the process itself: the larger of this number
+# and total / divisor.
+MIN_RESERVED_DESCRIPTORS = 48
+RESERVED_DESCRIPTORS_DIVISOR = 8
+CONTROL_DIVISOR = 4  # the call-control API gets 1 / CONTROL_DIVISOR of the connections
 MANAGEMENT_BACKLOG = 64
-REUSEPORT = "reuseport"  # of $SOFTSWITCH_HANDOVER: the kernel shares the address out, where none can be given
+# Value of $SOFTSWITCH_HANDOVER for hosts on which listeners cannot be handed over: both processes listen, and
+# the kernel distributes the connections (SO_REUSEPORT).
+REUSEPORT = "reuseport"
 
 
 def monotonic_ms() -> float:
-    """The clock of all timers."""
+    """Returns the time of the clock that all timers use, in ms."""
     return time.monotonic() * 1000.0
 
 
 def is_address_shared() -> bool:
-    """Whether $SOFTSWITCH_HANDOVER has the kernel share the callers' address out."""
+    """Whether $SOFTSWITCH_HANDOVER selects SO_REUSEPORT for the callers' address."""
     mode = environment.variable(environment.HANDOVER_MODE)
     if mode not in ("", REUSEPORT):
         name = environment.names(environment.HANDOVER_MODE)[0]
-        raise ConfigurationError(f"{name}: {mode!r:.40} is not '{REUSEPORT}'; empty: handed over")
+        raise ConfigurationError(
+            f"{name}: {mode!r:.40} is not '{REUSEPORT}'; leave it empty to hand listeners over"
+        )
     return mode == REUSEPORT
 
 
 def max_connections(configuration: Configuration) -> int:
-    """How many callers' connections the descriptors allow."""
+    """Returns how many callers' connections the limit on file descriptors allows."""
     descriptors = configuration.limits.sockets or resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     reserved = max(MIN_RESERVED_DESCRIPTORS, descriptors // RESERVED_DESCRIPTORS_DIVISOR)
     return max(MIN_CONNECTIONS, min(MAX_CONNECTIONS, descriptors - reserved))
 
 
 class Application:
-    """One softswitch."""
+    """One softswitch process."""
 
     def __init__(self, reactor: Any, configuration: Configuration, tables: Any = None) -> None:
         self.reactor = reactor
         self.configuration = configuration
         self.listen = configuration.listen
-        self.failure = ""  # why the process ends, where it could not serve
+        self.failure = ""  # reason if the process ends because it could not serve
         self._unix_offset = monotonic_ms() - time.time() * 1000.0
         shared = is_address_shared()
         self._build_switch()
@@ -103,9 +109,9 @@
     def _build_listeners(self, shared: bool) -> None:
         configuration = self.configuration
         control_settings = load_control_settings()
-        room = max_connections(configuration)
-        control_room = room // CONTROL_DIVISOR if control_settings.listen else 0
-        self.sip = SipServer(configuration.name, self.switch, room - control_room)
+        connections = max_connections(configuration)
+        control_connections = connections // CONTROL_DIVISOR if control_settings.listen else 0
+        self.sip = SipServer(configuration.name, self.switch, connections - control_connections)
         self.management = ManagementServer(self.switch) if configuration.management else None
         self.watch = EndpointWatch(
             self.reactor, configuration.board.pair, self.switch, self.engines, self._to_clock
@@ -115,7 +121,7 @@
         self.listeners = Listeners(self.reactor, self.switch, self.sip, self.watch, handover, shared)
         self.listeners.on_failure = self._fail
         if control_settings.listen:
-            self.listeners.control = self._build_control(control_settings, control_room)
+            self.listeners.control = self._build_control(control_settings, control_connections)
             self.listeners.control_address = Address.parse(control_settings.listen)
 
     def _build_handover(self, shared: bool) -> Handover | None:
@@ -126,13 +132,13 @@
         handover.on_predecessor_gone = self.engines.predecessor_gone
         return handover
 
-    def _build_control(self, settings: ControlSettings, room: int) -> Any:
-        from softswitch.net.call_control import CallControlServer  # and its packages, where it listens
+    def _build_control(self, settings: ControlSettings, connections: int) -> Any:
+        from softswitch.net.call_control import CallControlServer  # only imported if the API is enabled
 
-        return CallControlServer(settings, self.switch, room)
+        return CallControlServer(settings, self.switch, connections)
 
     def _build_components(self, tables: Any) -> Components:
-        """The optional components that the operator file asks for."""
+        """Creates the optional components that the operator file enables."""
         management = self.configuration.management
         host = Host(
             name=self.configuration.name,
@@ -157,17 +163,17 @@
         return unix_ms + self._unix_offset if unix_ms else 0.0
 
     def start(self) -> None:
-        """Starts all parts; callers may connect once the endpoint list is known."""
+        """Starts all components. Callers can connect once the endpoint list is known."""
         self.switch.start()
         self.watch.take_known(self.known_events)
         self.watch.start()
-        self._listen_for_operators()
+        self._listen_management()
         if self.components:
             self.components.start()
         self.ticker.start()
         self.listeners.open(self.listen)
 
-    def _listen_for_operators(self) -> None:
+    def _listen_management(self) -> None:
         address = self.configuration.management
         if self.management is None or address is None:
             return
@@ -177,21 +183,21 @@
             )
         except CannotListenError as e:
             raise ConfigurationError(f"mgmt: {e}") from None
-        logger.info("management calls at {}:{}", *address.pair)
+        logger.info("management server listens at {}:{}", *address.pair)
 
     def _fail(self, failure: str) -> None:
         self.failure = failure
         self.reactor.stop()
 
     def log_counters(self) -> None:
-        """Writes the counters to the log."""
+        """Logs the counters."""
         self.switch.update_counters()
-        now = {"open": self.switch.calls.unanswered, "known": len(self.switch.calls)}
+        gauges = {"open": self.switch.calls.unanswered, "known": len(self.switch.calls)}
         counters = {str(name): count for name, count in self.switch.counters.items()}
-        logger.info("counters {}", orjson.dumps(now | counters).decode())
+        logger.info("counters {}", orjson.dumps(gauges | counters).decode())
 
     def finish(self) -> None:
-        """The reactor has ended: what is kept is written and sent."""
+        """Stops telemetry and components after the reactor has ended; they flush their data."""
         if self.telemetry:
             self.telemetry.stop()
         if self.components:
--- a/softswitch/process/reload.py
+++ b/softswitch/process/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again, completely and strictly, before anything of it is taken."""
+"""Reload at SIGHUP: the new configuration is read and validated completely before any of it is applied."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
 from softswitch.net.endpoint_watch import EndpointWatch, KnownEvents
 from softswitch.net.engine_pool import EnginePool
 
-FIXED_KEYS = ("name", "listen", "limits")  # what a reload can't change
+FIXED_KEYS = ("name", "listen", "limits")  # keys that a reload cannot change
 MAX_SHOWN_CLASSES = 200  # characters
 
 
 class Reloader:
-    """Owner of the configuration in force."""
+    """Owns the configuration in force."""
 
     def __init__(
         self, configuration: Configuration, switch: Switch, engines: EnginePool, watch: EndpointWatch
     ) -> None:
-        self.running = configuration
+        self.active_configuration = configuration
         self.switch = switch
         self.engines = engines
         self.watch = watch
-        self.tick = configuration.settings.tick  # holds until the next start
-        # Given the operator file's tables and the settings; returns what changes at the next start only.
+        self.tick = configuration.settings.tick  # a new value takes effect at the next start
+        # Called with the operator file's tables and the settings; returns the keys deferred until a restart.
         self.reload_components: Callable[[Any, i.Settings], list[str]] = lambda tables, settings: []
         self.has_components = False
 
     def reload(self) -> None:
-        """Takes the files as they are now, or nothing of them."""
+        """Reads the files and applies all of them, or none if one is invalid."""
         figures = self.switch.figures
         try:
-            configuration = load_configuration(self.running)
+            configuration = load_configuration(self.active_configuration)
             known = self._known_events(configuration)
             tables = load_operator_file() if self.has_components else None
         except ConfigurationError as e:
@@ -50,7 +50,7 @@
             logger.error("configuration not reloaded, the old one stays: {}", e)
             return
         figures.cfg_accepted += 1
-        self._take(configuration, known, tables)
+        self._apply(configuration, known, tables)
 
     def _known_events(self, configuration: Configuration) -> KnownEvents:
         try:
@@ -58,19 +58,19 @@
         except (KeyError, TypeError, ValueError, AttributeError, IndexError) as e:
             raise ConfigurationError(f"{type(e).__name__}: {e}") from None
 
-    def _take(self, configuration: Configuration, known: KnownEvents, tables: Any) -> None:
-        delayed = configuration.differing(self.running, FIXED_KEYS)
+    def _apply(self, configuration: Configuration, known: KnownEvents, tables: Any) -> None:
+        deferred = configuration.differing(self.active_configuration, FIXED_KEYS)
         if configuration.settings.tick != self.tick:
-            delayed.append("settings.tick")
+            deferred.append("settings.tick")
         settings = replace(configuration.settings, tick=self.tick)
         self.engines.settings = settings
         self.switch.apply_settings(settings)
-        delayed += self.reload_components(tables, settings)
-        self.running = configuration.keeping(self.running, FIXED_KEYS)
+        deferred += self.reload_components(tables, settings)
+        self.active_configuration = configuration.keeping(self.active_configuration, FIXED_KEYS)
         self.watch.take_known(known)
         self.watch.move(configuration.board.pair)
         classes = ", ".join(c.name for c in settings.classes)[:MAX_SHOWN_CLASSES]
         board = configuration.board
         logger.info("configuration reloaded, board at {}:{}, classes {}", board.host, board.port, classes)
-        if delayed:
-            logger.warning("configuration: {} changes at the next start only", ", ".join(delayed))
+        if deferred:
+            logger.warning("configuration: changes of {} take effect at the next start", ", ".join(deferred))
--- a/softswitch/process/ticker.py
+++ b/softswitch/process/ticker.py
@@ -1,4 +1,4 @@
-"""Drives the timer wheel from Twisted's reactor, and lets the process sleep while nothing is due."""
+"""Drives the timer wheel from Twisted's reactor and lets the process sleep while no timer is due."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from softswitch.core.timer_wheel import TimerWheel
 from softswitch.net.twisted_internals import notify_wakes
 
-MAX_IDLE = 50.0  # ms without a look at the clock; a standstill within it goes unseen
-LATE_TICKS = 2.0  # a tick that comes more than so many late shows a standstill
+MAX_IDLE = 50.0  # ms without reading the clock; a stall within this time is not detected
+LATE_TICKS = 2.0  # a tick that is late by more than this many ticks indicates a stall
 
 
 class Ticker:
-    """One timer of the reactor drives all others."""
+    """Runs all timers of the wheel with a single timer of the reactor."""
 
     def __init__(self, reactor: Any, wheel: TimerWheel, counters: Counters) -> None:
         self.reactor = reactor
@@ -21,12 +21,10 @@
         self.counters = counters
         self._due = 0.0  # when the next tick is due
         self._scheduled: Any = None  # the reactor's call of the next tick
-        self._may_idle = False  # whether ticks with nothing due are left out
+        self._may_idle = False  # whether ticks without due timers are skipped
 
     def start(self) -> None:
-        """Runs the first tick; from now on the process sleeps until its next timer, or until something
-        arrives.
-        """
+        """Runs the first tick. From then on the process sleeps until its next timer or input."""
         self._due = self.wheel.read_clock()
         self._tick()
         if notify_wakes(self.reactor, self.wheel.read_after_idle):
@@ -34,9 +32,9 @@
             self.wheel.on_earlier = self._timer_before_next_tick
 
     def _tick(self) -> None:
-        """After a standstill the sockets are read first.
+        """Runs the due timers; after a stall the sockets are read first.
 
-        What came in meanwhile came before the timers that are overdue, and must not look late.
+        Input that arrived during the stall precedes the overdue timers and must not be treated as late.
         """
         wheel = self.wheel
         now = wheel.read_clock()
@@ -55,13 +53,13 @@
         self._scheduled = self.reactor.callLater(self._delay(next_tick), self._tick)
 
     def _idle_until(self, now: float) -> float:
-        """With nothing due the wheel idles, and the poller reads the clock when something arrives."""
+        """Returns the end of the idle time. When input arrives earlier, the poller reads the clock."""
         latest = now + MAX_IDLE
         due = self.wheel.next_due
         return latest if due is None else min(latest, due)
 
     def _timer_before_next_tick(self, due: float) -> None:
-        """A timer was set that comes before the end of the idle time."""
+        """Advances the next tick for a timer that is due before the end of the idle time."""
         due = max(due, self.wheel.now)
         if self._scheduled is not None and due < self._due:
             self._due = due
@@ -69,5 +67,5 @@
             self._scheduled.reset(self._delay(due))
 
     def _delay(self, when: float) -> float:
-        """Seconds until then."""
+        """Returns the seconds until `when`."""
         return max(0.0, when - self.wheel.now - self.wheel.elapsed_since_read()) / 1000.0
