--- a/softswitch/core/release_delivery.py
+++ b/softswitch/core/release_delivery.py
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class ReleaseMessage:
-    """A release for the caller of the queue to write to a connection."""
+    """A release that must be written to a connection now."""
 
     connection: Connection
     call: str
@@ -66,9 +66,8 @@
     def __init__(self, max_releases: int = MAX_RELEASES) -> None:
         self.max_releases = max_releases
         self.pending: OrderedDict[str, PendingRelease] = OrderedDict()  # by call, the earliest end first
-        self.connections: dict[
-            Connection, ConnectionState
-        ] = {}  # with an active caller; closing ones excluded
+        # Connections on which a caller was active; closing ones are excluded.
+        self.connections: dict[Connection, ConnectionState] = {}
         self.callers_acknowledge = False  # whether any caller has ever acknowledged a release
         self.unsent = 0  # releases dropped without having been sent
         self.unacknowledged = 0  # releases dropped after having been sent
--- a/softswitch/core/switch.py
+++ b/softswitch/core/switch.py
@@ -368,9 +368,8 @@
         self.endpoints.mark_unlisted(update)
         for endpoint in update.endpoints:
             if self.endpoints.restarted(endpoint):
-                self.engine_died(
-                    endpoint.server, endpoint.started_at
-                )  # calls of the engine's old process are lost
+                # The calls of the engine's old process are lost.
+                self.engine_died(endpoint.server, endpoint.started_at)
             self.endpoints.update(endpoint)
         self._feed(update)
         for server in self.endpoints.not_ready():
--- a/tests/support/switch_bench.py
+++ b/tests/support/switch_bench.py
@@ -1,4 +1,4 @@
-"""The switch and its wheel, with no wire: a clock by hand, a caller and engines that only write down."""
+"""Test bench for the switch without a network: a manual clock, and a caller and engines that record calls."""
 
 from softswitch import interface as i
 from softswitch.core.call import FailureReason, SetupRequest
@@ -7,16 +7,23 @@
 from support.policy_driver import settings
 
 A, B = "s-0000000a", "s-0000000b"
-CALLED = ("send_setup", "cancel_setup", "send_release", "call_established", "call_failed", "call_released")
+RECORDED_METHODS = (
+    "send_setup",
+    "cancel_setup",
+    "send_release",
+    "call_established",
+    "call_failed",
+    "call_released",
+)
 
 
 class Bench:
-    """Caller, engines and clock in one; `said` holds what the switch told any of them."""
+    """Caller, engines and clock in one; `records` holds all calls of the switch to them."""
 
     calls_survive = False
 
     def __init__(self, servers=(A, B), tick=5.0, **changes):
-        self.now, self.said, self.tick = 1000.0, [], tick
+        self.now, self.records, self.tick = 1000.0, [], tick
         self.wheel = TimerWheel(tick, lambda: self.now)
         self.switch = Switch(settings(tick=tick, **changes), 1, self.wheel, self)
         self.switch.start()
@@ -27,22 +34,22 @@
         self.switch.endpoints_changed(i.EndpointsChanged(kind, endpoints))
 
     def send_setup(self, server, call):
-        """It is written at once."""
-        self.said.append(("send_setup", server))
+        """Records the setup, which counts as written at once."""
+        self.records.append(("send_setup", server))
         self.switch.attempt_written(call.id)
 
     def endpoint_unavailable(self, server):
-        """Nothing waits to be written here."""
+        """Does nothing: no setup waits to be written."""
 
     def __getattr__(self, name):
-        if name not in CALLED:
+        if name not in RECORDED_METHODS:
             raise AttributeError(name)
 
-        def note(*words):
-            plain = [w if isinstance(w, str | int | bytes | FailureReason) else None for w in words]
-            self.said.append((name, *[w for w in plain if w is not None]))
+        def record(*args):
+            plain = [a if isinstance(a, str | int | bytes | FailureReason) else None for a in args]
+            self.records.append((name, *[a for a in plain if a is not None]))
 
-        return note
+        return record
 
     def call(self, n=1, timeout=3000.0, destination_cell=0, call_class="plain"):
         return self.switch.request_setup(
@@ -56,5 +63,5 @@
             self.wheel.read_clock()
             self.wheel.run_due()
 
-    def heard(self, name):
-        return [words for words in self.said if words[0] == name]
+    def records_of(self, name):
+        return [record for record in self.records if record[0] == name]
--- a/tests/test_call_history.py
+++ b/tests/test_call_history.py
@@ -1,4 +1,4 @@
-"""The ring of calls' lives: bounds, the management call, the file; parts that are off stay out."""
+"""The call history: limits, management call and file. Components that are disabled are not loaded."""
 
 import json
 import subprocess
@@ -18,7 +18,7 @@
     """
 
 
-def test_bounds_of_calls_and_of_entries():
+def test_limits_on_calls_and_entries():
     at = [0.0]
     history = CallHistory(lambda: at[0], max_calls=3)
     for n in range(5):
@@ -31,23 +31,23 @@
     for n in range(100):
         at[0] = float(n)
         history.note(call_id(4), "again", str(n))
-    told = history.report(call_id(4), 1000.0)
-    assert len(told["life"]) == FIRST_ENTRIES + LAST_ENTRIES
-    assert told["left_out"] == 101 - FIRST_ENTRIES - LAST_ENTRIES
-    assert told["life"][0] == {"ms": 1000.0, "what": "set-up"}
-    assert told["life"][-1]["where"] == "99"
+    report = history.report(call_id(4), 1000.0)
+    assert len(report["life"]) == FIRST_ENTRIES + LAST_ENTRIES
+    assert report["left_out"] == 101 - FIRST_ENTRIES - LAST_ENTRIES
+    assert report["life"][0] == {"ms": 1000.0, "what": "set-up"}
+    assert report["life"][-1]["where"] == "99"
     assert history.report(call_id(0)) is None
 
 
-def test_a_life_is_told_on_request_and_written_to_the_file(tmp_path):
-    star = tmp_path / "o.star"
-    star.write_text('calls = {"keep": 9, "file": "l-{pid}.jsonl", "every_s": 0.1}\n')
-    with Stage(env={"SOFTSWITCH_OPERATOR": str(star)}) as s:
+def test_a_call_history_is_returned_on_request_and_written_to_the_file(tmp_path):
+    operator_file = tmp_path / "o.star"
+    operator_file.write_text('calls = {"keep": 9, "file": "l-{pid}.jsonl", "every_s": 0.1}\n')
+    with Stage(env={"SOFTSWITCH_OPERATOR": str(operator_file)}) as s:
         s.play(CALL)
         s.play("m0 send GET /v1/calls/{1}")
-        told = json.loads(s.next("m0").partition(" - ")[2])
-        whats = [entry["what"] for entry in told["life"]]
-        wanted = [
+        report = json.loads(s.next("m0").partition(" - ")[2])
+        events = [entry["what"] for entry in report["life"]]
+        expected = [
             "set-up",
             "attempt",
             "set-up written",
@@ -56,7 +56,7 @@
             "release heard",
             "caller told",
         ]
-        assert [w for w in whats if w in wanted] == wanted, whats
+        assert [e for e in events if e in expected] == expected, events
         s.play("""
             m1 send GET /v1/calls/{7}
             m1 expect ^404
@@ -75,15 +75,15 @@
         assert {json.loads(line)["call"] for line in lines} == {call_id(1), "links"}
 
 
-def test_a_disk_that_is_full_is_told_once_and_calls_go_on(tmp_path):
-    star = tmp_path / "o.star"
-    star.write_text('calls = {"file": "/dev/full", "every_s": 0.1}\n')
-    with Stage(env={"SOFTSWITCH_OPERATOR": str(star)}) as s:
+def test_a_full_disk_is_logged_once_and_calls_continue(tmp_path):
+    operator_file = tmp_path / "o.star"
+    operator_file.write_text('calls = {"file": "/dev/full", "every_s": 0.1}\n')
+    with Stage(env={"SOFTSWITCH_OPERATOR": str(operator_file)}) as s:
         s.play(CALL + "c0 wait 400" + CALL.replace(" 1", " 2").replace("{1}", "{2}") + "c0 wait 400")
         assert s.said().count("calls: lives not written") == 1
 
 
-def test_without_a_table_no_part_is_loaded():
+def test_importing_the_program_loads_no_optional_component():
     off = (
         "parts",
         "net.callbook",
--- a/tests/test_release_delivery.py
+++ b/tests/test_release_delivery.py
@@ -1,4 +1,4 @@
-"""The life of a release: drawn interleavings on a model of callers, and the front on sockets."""
+"""Delivery of releases: random interleavings against a model of callers, and the softswitch on sockets."""
 
 import random
 import time
@@ -8,8 +8,10 @@
 
 from softswitch.core.release_delivery import EXPIRES_AFTER, RETRY_AFTER, ReleaseQueue
 
-STAYS = {"lanes": [{"name": "x", "aim": 1500.0, "credit": 1.0, "late_value": 0.25, "hard_limit": 9000.0}]}
-TWO_STAND = """
+LONG_DEADLINE = {
+    "lanes": [{"name": "x", "aim": 1500.0, "credit": 1.0, "late_value": 0.25, "hard_limit": 9000.0}]
+}
+TWO_ESTABLISHED_CALLS = """
     c0 send INVITE 1
     e0 expect SET_UP {1}
     e0 send ANSWER 1 33=d
@@ -21,135 +23,153 @@
     """
 
 
-class World:
-    """Callers' connections as they truly are, and what has come out at their far end."""
+class CallerModel:
+    """Model of the callers' connections, and of the releases that the callers have read."""
 
     def __init__(self, seed):
-        self.rng, self.now, self.table = random.Random(seed), 0.0, ReleaseQueue(max_releases=64)
-        self.open, self.silent, self.flight, self.read = {}, set(), [], {}
-        self.made = self.calls = 0
-        self.over = {}  # call -> when it was over
-        self.reachable = {}  # call -> since when a way to a reading caller has stood without a break
+        self.rng, self.now, self.queue = random.Random(seed), 0.0, ReleaseQueue(max_releases=64)
+        self.open, self.silent, self.in_flight, self.read = {}, set(), [], {}
+        self.opened = self.calls = 0
+        self.call_ended_at = {}  # by call
+        self.reachable_since = {}  # by call: start of the current time with a connection that is read
 
-    def out(self, told):
-        for tell in told:
-            assert tell.connection in self.open, "written to a connection that is over"
-            self.flight.append([self.now + self.rng.choice((1, 5, 40)), tell.connection, tell.call])
+    def transmit(self, messages):
+        for message in messages:
+            assert message.connection in self.open, "written to a closed connection"
+            self.in_flight.append([self.now + self.rng.choice((1, 5, 40)), message.connection, message.call])
 
     def connect(self):
-        self.made += 1
-        self.open[self.made] = None
+        self.opened += 1
+        self.open[self.opened] = None
         if self.rng.random() < 0.7:
-            self.table.call_established(self.made)
-        self.out(self.table.caller_active(self.now, self.made))
+            self.queue.call_established(self.opened)
+        self.transmit(self.queue.caller_active(self.now, self.opened))
 
     def step(self):
-        rng, ways = self.rng, list(self.open)
-        acts = ("over", "over", "connect", "close", "reset", "silent", "speak", "choke", "time", "time")
-        act = rng.choice(acts)
-        if act == "over":
+        rng, connections = self.rng, list(self.open)
+        actions = (
+            "end",
+            "end",
+            "connect",
+            "close",
+            "reset",
+            "silent",
+            "send",
+            "backpressure",
+            "time",
+            "time",
+        )
+        action = rng.choice(actions)
+        if action == "end":
             self.calls += 1
             call = f"{self.calls:016x}"
-            self.over[call] = self.now
-            own = rng.choice([*ways, None, -1])  # -1: a connection that is over
-            self.out(self.table.add(self.now, call, "77", 16, own))
-        elif act == "connect" and len(ways) < 5:
+            self.call_ended_at[call] = self.now
+            own = rng.choice([*connections, None, -1])  # -1: a closed connection
+            self.transmit(self.queue.add(self.now, call, "77", 16, own))
+        elif action == "connect" and len(connections) < 5:
             self.connect()
-        elif act in ("close", "reset") and ways:
-            way = rng.choice(ways)  # what is in flight there is never read
-            del self.open[way]
-            self.silent.discard(way)
-            self.flight = [f for f in self.flight if f[1] != way]
-            self.out(self.table.connection_closed(self.now, way))
-        elif act == "silent" and len(set(ways) - self.silent) > 1:
-            self.silent.add(rng.choice(ways))  # open, and nothing is read there any more
-        elif act == "speak" and set(ways) - self.silent:
-            self.out(self.table.caller_active(self.now, rng.choice(sorted(set(ways) - self.silent))))
-        elif act == "choke" and ways:
-            self.table.set_backpressured(rng.choice(ways), rng.random() < 0.5)
+        elif action in ("close", "reset") and connections:
+            closed = rng.choice(connections)  # releases in flight on it are never read
+            del self.open[closed]
+            self.silent.discard(closed)
+            self.in_flight = [f for f in self.in_flight if f[1] != closed]
+            self.transmit(self.queue.connection_closed(self.now, closed))
+        elif action == "silent" and len(set(connections) - self.silent) > 1:
+            self.silent.add(rng.choice(connections))  # open, but no longer read
+        elif action == "send" and set(connections) - self.silent:
+            self.transmit(
+                self.queue.caller_active(self.now, rng.choice(sorted(set(connections) - self.silent)))
+            )
+        elif action == "backpressure" and connections:
+            self.queue.set_backpressured(rng.choice(connections), rng.random() < 0.5)
         else:
             self.pass_time(rng.choice((1, 10, 60)))
 
     def pass_time(self, ms):
         for _ in range(ms):
             self.now += 1.0
-            for f in [f for f in self.flight if f[0] <= self.now and f[1] not in self.silent]:
-                self.flight.remove(f)
+            for f in [f for f in self.in_flight if f[0] <= self.now and f[1] not in self.silent]:
+                self.in_flight.remove(f)
                 self.read.setdefault(f[2], self.now)
-                self.table.acknowledge(f[2])
+                self.queue.acknowledge(f[2])
             if self.now % 100 == 0:
-                self.out(self.table.advance(self.now))
+                self.transmit(self.queue.advance(self.now))
             reading = set(self.open) - self.silent
-            for call, since in self.over.items():
+            for call, ended_at in self.call_ended_at.items():
                 if call not in self.read and reading:
-                    self.reachable.setdefault(call, self.now)
+                    self.reachable_since.setdefault(call, self.now)
                 elif not reading:
-                    self.reachable.pop(call, None)
-                # Told in time if any way to a caller stood: three tries of 300 ms, looked at each 100 ms.
-                late = self.now - self.reachable.get(call, self.now)
-                if call not in self.read and late > 1_000 and self.now - since < EXPIRES_AFTER - 1_000:
-                    raise AssertionError(f"{call} over at {since}, not read at {self.now}")
+                    self.reachable_since.pop(call, None)
+                # A release is read within 1 s if a connection is read: three transmissions 300 ms apart,
+                # checked every 100 ms.
+                late = self.now - self.reachable_since.get(call, self.now)
+                if call not in self.read and late > 1_000 and self.now - ended_at < EXPIRES_AFTER - 1_000:
+                    raise AssertionError(f"{call} ended at {ended_at}, release not read at {self.now}")
         self.check()
 
     def check(self):
-        table = self.table
-        assert len(table.pending) <= table.max_releases
-        assert set(table.connections) <= set(self.open)
-        sent = {call: way for way, state in table.connections.items() for call in state.unacknowledged}
+        queue = self.queue
+        assert len(queue.pending) <= queue.max_releases
+        assert set(queue.connections) <= set(self.open)
+        sent = {call: c for c, state in queue.connections.items() for call in state.unacknowledged}
         assert sent == {
-            call: owed.connection for call, owed in table.pending.items() if owed.connection is not None
+            call: release.connection
+            for call, release in queue.pending.items()
+            if release.connection is not None
         }
-        assert not any(owed.connection is None for owed in table.pending.values()) or not table.connections
+        assert (
+            not any(release.connection is None for release in queue.pending.values()) or not queue.connections
+        )
 
 
-def test_drawn_lives_of_releases_are_told_in_time_if_any_way_to_a_caller_stood():
+def test_random_releases_are_read_in_time_if_a_connection_is_read():
     for seed in range(400):
-        world = World(seed)
-        world.connect()
+        model = CallerModel(seed)
+        model.connect()
         for _ in range(120):
-            # Of the ways at most one is silent at a time: three tries find no more than that.
-            if len(world.silent) > 1:
-                world.silent.pop()
-            world.step()
-        world.pass_time(1)
-        assert world.calls > 5
-        assert world.read
-
-
-def test_no_acknowledgement_is_missed_where_callers_never_acknowledge():
-    table = ReleaseQueue()
-    table.caller_active(0.0, "a")
-    table.caller_active(0.0, "b")
-    assert [message.connection for message in table.add(1.0, "1", "77", 16, "a")] == ["a"]
-    assert table.advance(1.0 + 2 * RETRY_AFTER) == []  # nobody here ever said that it heard one
-    # but an end is an end
-    assert [message.connection for message in table.connection_closed(700.0, "a")] == ["b"]
-    assert table.acknowledge("1")
-    assert not table.acknowledge("1")
-    table.add(800.0, "2", "77", 16, "b")
-    table.caller_active(800.0, "c")
-    assert [message.connection for message in table.advance(800.0 + RETRY_AFTER)] == ["c"]
-    assert table.advance(800.0 + 2 * RETRY_AFTER) == []  # there is no third
-    table.advance(800.0 + EXPIRES_AFTER + 1)
-    assert not table.pending
-    assert table.unacknowledged == 1
-    assert table.unsent == 0
-
-
-def test_bounds_the_oldest_go_first_and_are_counted():
-    table = ReleaseQueue(max_releases=3)
+            # At most one connection is silent at a time: three transmissions can cover no more.
+            if len(model.silent) > 1:
+                model.silent.pop()
+            model.step()
+        model.pass_time(1)
+        assert model.calls > 5
+        assert model.read
+
+
+def test_a_missing_acknowledgement_is_no_loss_if_callers_never_acknowledge():
+    queue = ReleaseQueue()
+    queue.caller_active(0.0, "a")
+    queue.caller_active(0.0, "b")
+    assert [message.connection for message in queue.add(1.0, "1", "77", 16, "a")] == ["a"]
+    assert queue.advance(1.0 + 2 * RETRY_AFTER) == []  # no caller here has ever acknowledged a release
+    # but a closed connection always counts as a loss
+    assert [message.connection for message in queue.connection_closed(700.0, "a")] == ["b"]
+    assert queue.acknowledge("1")
+    assert not queue.acknowledge("1")
+    queue.add(800.0, "2", "77", 16, "b")
+    queue.caller_active(800.0, "c")
+    assert [message.connection for message in queue.advance(800.0 + RETRY_AFTER)] == ["c"]
+    assert queue.advance(800.0 + 2 * RETRY_AFTER) == []  # there is no third connection
+    queue.advance(800.0 + EXPIRES_AFTER + 1)
+    assert not queue.pending
+    assert queue.unacknowledged == 1
+    assert queue.unsent == 0
+
+
+def test_at_the_limit_the_oldest_releases_are_dropped_and_counted():
+    queue = ReleaseQueue(max_releases=3)
     for n in range(5):
-        assert table.add(float(n), str(n), "7", 16, None) == []
-    assert list(table.pending) == ["2", "3", "4"]
-    assert table.unsent == 2
-    assert [t.call for t in table.caller_active(9.0, "a")] == ["2", "3", "4"]
-    table.hand_over("3")
-    assert set(table.connections["a"].unacknowledged) == {"2", "4"}
+        assert queue.add(float(n), str(n), "7", 16, None) == []
+    assert list(queue.pending) == ["2", "3", "4"]
+    assert queue.unsent == 2
+    assert [t.call for t in queue.caller_active(9.0, "a")] == ["2", "3", "4"]
+    queue.hand_over("3")
+    assert set(queue.connections["a"].unacknowledged) == {"2", "4"}
 
 
-def test_a_release_unread_at_a_close_goes_out_on_another_connection():
-    with Stage(settings=STAYS) as s:
-        s.play(TWO_STAND)
+def test_a_release_unread_when_its_connection_closes_is_sent_on_another_connection():
+    with Stage(settings=LONG_DEADLINE) as s:
+        s.play(TWO_ESTABLISHED_CALLS)
         s.play("""
             e0 send RELEASE 1 31=16
             c0 wait 50
@@ -165,9 +185,9 @@
             """)
 
 
-def test_a_release_that_is_not_heard_goes_out_on_another_connection():
-    with Stage(settings=STAYS) as s:
-        s.play(TWO_STAND)
+def test_an_unacknowledged_release_is_sent_on_another_connection():
+    with Stage(settings=LONG_DEADLINE) as s:
+        s.play(TWO_ESTABLISHED_CALLS)
         s.play("""
             e0 send RELEASE 2 31=16
             c1 expect ^BYE .*Call-ID: {2}
@@ -180,9 +200,9 @@
             """)
 
 
-def test_a_release_swallowed_by_a_connection_that_was_given_up_comes_on_one_that_listens():
-    """The engine still writes to the connection that we closed, and again only on the next one."""
-    with Stage(settings=STAYS, engines=1) as s:
+def test_a_release_lost_on_an_abandoned_link_arrives_on_a_listening_connection():
+    """The engine wrote the release to the connection that was closed, and repeats it only on the next one."""
+    with Stage(settings=LONG_DEADLINE, engines=1) as s:
         s.play("""
             c0 send INVITE 1
             e0 expect SET_UP {1}
@@ -190,14 +210,15 @@
             c0 expect 200 .*{1}
             """)
         seen = {s.parties["e0"]}
-        s.parties["e0"].sock.sendall(b"\x00\x30\x09")  # an answer that stops short
-        for n in (2, 3):  # the link again, and then, while the call stands, one that listens
+        s.parties["e0"].sock.sendall(b"\x00\x30\x09")  # an incomplete answer
+        # The link is opened again, then, while the call is established, a listening connection.
+        for n in (2, 3):
             for k in range(20):
                 s.pump(0.1)
                 if s.parties["e0"] not in seen:
                     break
                 if n == 3 and k % 3 == 0:
-                    s.play("e0 send STATE 0 21=x0:9;x1:9")  # the link itself is well
+                    s.play("e0 send STATE 0 21=x0:9;x1:9")  # the link itself works
             seen.add(s.parties["e0"])
             assert len(seen) == n, s.said()
         assert "silent" not in s.said()
@@ -206,17 +227,19 @@
             c0 expect ^BYE .*Call-ID: {1}
             e0 wait 1200
             """)
-        assert s.parties["e0"] in seen, "no more than needed: nothing stands"
+        assert s.parties["e0"] in seen, "a connection was opened although no call is established"
 
 
-@pytest.mark.parametrize(("left", "closes"), [(2, False), (30, False), (2, True)])
-def test_a_release_that_was_begun_and_never_ended_reaches_its_caller(left, closes):
-    """The engine has told it, as far as it knows: it writes it to no other connection."""
-    with Stage(settings=STAYS, engines=1) as s:
-        s.play(TWO_STAND)
-        whole = bytes.fromhex("0c" + call_id("1")) + b"\x1f\x00\x01\x10\x15\x00\x1e" + b"x0:9;x1:9".ljust(30)
+@pytest.mark.parametrize(("missing", "closes"), [(2, False), (30, False), (2, True)])
+def test_an_incomplete_release_reaches_its_caller(missing, closes):
+    """For the engine the release is sent: it writes it to no other connection."""
+    with Stage(settings=LONG_DEADLINE, engines=1) as s:
+        s.play(TWO_ESTABLISHED_CALLS)
+        message = (
+            bytes.fromhex("0c" + call_id("1")) + b"\x1f\x00\x01\x10\x15\x00\x1e" + b"x0:9;x1:9".ljust(30)
+        )
         link = s.parties["e0"]
-        link.sock.sendall((len(whole).to_bytes(2, "big") + whole)[:-left])
+        link.sock.sendall((len(message).to_bytes(2, "big") + message)[:-missing])
         if closes:
             link.sock.close()
             s.parties.pop("e0")
@@ -227,8 +250,8 @@
             """)
 
 
-def test_an_engine_that_hangs_up_on_a_connection_that_listens_does_no_harm():
-    with Stage(settings=STAYS, engines=1) as s:
+def test_an_engine_may_close_a_listening_connection():
+    with Stage(settings=LONG_DEADLINE, engines=1) as s:
         s.play("""
             c0 send INVITE 1
             e0 expect SET_UP {1}
@@ -236,7 +259,7 @@
             c0 expect 200 .*{1}
             """)
         link = s.parties["e0"]
-        link.sock.sendall(b"\x00\x30\x09")  # an answer that stops short
+        link.sock.sendall(b"\x00\x30\x09")  # an incomplete answer
         while s.parties["e0"] is link:
             s.pump(0.1)
         link = s.parties["e0"]
@@ -244,9 +267,9 @@
             s.pump(0.1)
             if s.parties["e0"] is not link:
                 break
-        ear, s.parties["e0"] = s.parties["e0"], link
-        assert ear is not link, s.said()
-        ear.sock.close()
+        listening, s.parties["e0"] = s.parties["e0"], link
+        assert listening is not link, s.said()
+        listening.sock.close()
         s.play("""
             e0 send STATE 0 21=x0:9;x1:9
             e0 wait 400
@@ -256,9 +279,9 @@
         assert "ERROR" not in s.said(), s.said()
 
 
-def test_a_call_that_ended_before_its_answer_came_fails_and_is_not_set_up_again():
-    """Set up again under the same id it would stand while its caller is owed the release of before."""
-    with Stage(settings=STAYS) as s:
+def test_a_call_that_ended_before_its_answer_fails_and_is_not_retried():
+    """A retry under the same id would establish a call while its caller is still to receive a release of it."""
+    with Stage(settings=LONG_DEADLINE) as s:
         s.play("""
             c0 send INVITE 1
             e0 expect SET_UP {1}
@@ -274,9 +297,9 @@
 
 
 @pytest.mark.parametrize("caller_stays", [False, True])
-def test_a_stopping_process_leaves_a_release_that_no_caller_could_be_sent_to_the_next(caller_stays):
-    """Guards against a release that the ending process reads after its last caller's connection is over."""
-    with Stage(settings=STAYS, engines=1) as s:
+def test_a_stopping_process_leaves_an_undeliverable_release_to_its_successor(caller_stays):
+    """Guards against a release that the stopping process reads after its last caller has disconnected."""
+    with Stage(settings=LONG_DEADLINE, engines=1) as s:
         s.play("""
             c0 send INVITE 1
             e0 expect SET_UP {1}
@@ -285,7 +308,7 @@
             """)
         s.play("p send SIGTERM\nc0 expect ^end" if caller_stays else "c0 close\np send SIGTERM\ne0 wait 200")
         ending = s.parties["e0"]
-        if ending.sock.fileno() >= 0:  # beside much load its end may be read with the caller's
+        if ending.sock.fileno() >= 0:  # under load its close may be read together with the caller's
             s.play("e0 send RELEASE 1 31=16")
         s.play("p expect 0")
         while ending.sock.fileno() >= 0:
@@ -301,9 +324,9 @@
             """)
 
 
-def test_a_stop_whose_callers_have_all_left_does_not_wait_for_calls_that_it_can_not_serve():
-    """The sooner the next process is there, the sooner their releases reach somebody."""
-    with Stage(settings=STAYS, engines=1) as s:
+def test_a_stop_without_connected_callers_does_not_wait_for_established_calls():
+    """The sooner the successor runs, the sooner the releases of these calls reach their callers."""
+    with Stage(settings=LONG_DEADLINE, engines=1) as s:
         s.play("""
             c0 send INVITE 1
             e0 expect SET_UP {1}
@@ -312,6 +335,6 @@
             c0 close
             c0 wait 100
             """)
-        began = time.monotonic()
+        started_at = time.monotonic()
         s.play("p send SIGTERM\np expect 0")
-        assert 0.7 < time.monotonic() - began < 2.0
+        assert 0.7 < time.monotonic() - started_at < 2.0
