--- a/tests/test_call_endings.py
+++ b/tests/test_call_endings.py
@@ -1,5 +1,7 @@
-"""What is still owed at the instant in which something ends. Each bad order is made by events: peers are
-held, the program is stopped by SIGSTOP while things happen, or the set-ups come without pause.
+"""Races at the end of calls, connections and processes: no answer or release may be lost.
+
+Each unfavourable order of events is forced: peers are held back, the program is paused by SIGSTOP, or setups
+arrive without a pause.
 """
 
 import signal
@@ -12,34 +14,34 @@
 
 from softswitch.standin.addresses import own_host
 
-SHORT = {"lanes": [{"name": "x", "aim": 500.0, "credit": 1.0, "hard_limit": 900.0}]}
-SLOW = {"limits": INFO["limits"] | {"connect_timeout": 8000.0}}
+SHORT_DEADLINE = {"lanes": [{"name": "x", "aim": 500.0, "credit": 1.0, "hard_limit": 900.0}]}
+LONG_CONNECT_TIMEOUT = {"limits": INFO["limits"] | {"connect_timeout": 8000.0}}
 
 
 def invite(n, patience=900, **fields):
-    """An INVITE as bytes."""
+    """Returns an INVITE as bytes."""
 
-    class Kept:
+    class RecordingSocket:
         def sendall(self, data):
             self.data = data
 
-    kept = Kept()
-    more = "".join(f" {k}={v}" for k, v in fields.items())
-    Sip(None, kept).send(f"INVITE {n} X-Patience={patience}{more}")
-    return kept.data
+    recorder = RecordingSocket()
+    headers = "".join(f" {k}={v}" for k, v in fields.items())
+    Sip(None, recorder).send(f"INVITE {n} X-Patience={patience}{headers}")
+    return recorder.data
 
 
 def read_to_end(sock, seconds=5.0):
-    """What comes until the other side closes; a reset is a fault of its own."""
+    """Reads until the other side closes; a reset raises an exception, so it fails the test."""
     sock.settimeout(seconds)
-    came = b""
+    received = b""
     while data := sock.recv(65536):
-        came += data
-    return came
+        received += data
+    return received
 
 
-class Frozen:
-    """The program stands still within: what is done meanwhile has all happened when it goes on."""
+class Paused:
+    """Pauses the program within the block: all events of the block precede its resumption."""
 
     def __init__(self, stage):
         self.program = stage.program
@@ -56,11 +58,11 @@
 # SIGTERM
 
 
-def test_what_comes_until_the_very_end_of_a_stop_is_answered():
-    # the engine answers nothing; set-ups come every few ms until the program closes the connection
-    with Stage(engines=1, settings=SHORT) as s:
+def test_setups_until_the_end_of_a_stop_are_answered():
+    # the engine answers nothing; setups arrive every few ms until the program closes the connection
+    with Stage(engines=1, settings=SHORT_DEADLINE) as s:
         s.play("c0 send OPTIONS\nc0 expect 200")
-        c, sent, came = s.parties.pop("c0").sock, {}, b""
+        c, sent, received = s.parties.pop("c0").sock, {}, b""
         c.setblocking(False)
         s.program.send_signal(signal.SIGTERM)
         n, open_ = 100, True
@@ -76,25 +78,25 @@
                 s.pump(0.002)
                 try:
                     data = c.recv(65536)
-                    came, open_ = came + data, bool(data)
+                    received, open_ = received + data, bool(data)
                 except BlockingIOError:
                     pass
                 except ConnectionError:
                     open_ = False
         ended = time.monotonic()
-        lost = [call for call, at in sent.items() if ended - at > 0.05 and call.encode() not in came]
+        lost = [call for call, at in sent.items() if ended - at > 0.05 and call.encode() not in received]
         assert len(sent) > 50 and not lost, (len(lost), len(sent))
         assert s.program.wait(2) == 0
 
 
-def test_answers_that_a_caller_has_not_read_yet_are_not_cut_off_by_the_end_of_a_stop():
+def test_answers_that_a_caller_has_not_read_yet_survive_the_end_of_a_stop():
     with Stage(engines=1) as s:
-        body, stood = "x" * 15_000, []
+        body, established = "x" * 15_000, []
 
-        def answer(name, said):
-            if said.startswith("SET_UP"):
-                stood.append(said.split()[1])
-                s.parties["e0"].send(f"ANSWER {stood[-1]} 33={body}")
+        def answer(name, message):
+            if message.startswith("SET_UP"):
+                established.append(message.split()[1])
+                s.parties["e0"].send(f"ANSWER {established[-1]} 33={body}")
 
         s.play("c0 send OPTIONS\nc0 expect 200\ne0 wait 50")
         s.hook = answer
@@ -104,23 +106,27 @@
             try:
                 c.sendall(invite(n, patience=3000))
             except BlockingIOError:
-                break  # nor is it read from by now
+                break  # by now the program does not read from it either
             s.pump(0.002)
             s.pump(0.0)
         for _ in range(20):
             s.pump(0.01)
-        for call in stood:  # nothing stands any more, and the stop need not wait for it
+        for call in established:  # then no call is established, so the stop need not wait for one
             s.parties["e0"].send(f"RELEASE {call} 31=16")
         s.program.send_signal(signal.SIGTERM)
-        s.play("e0 wait 1500")  # then it reads: longer than the stop itself takes
-        came = read_to_end(c, 5.0)
-        cut = [call for call in stood if f"Call-ID: {call}".encode() not in came]
-        whole = came.count(body.encode())
-        assert len(stood) > 100 and not cut and whole == len(stood), (len(stood), len(cut), whole)
+        s.play("e0 wait 1500")  # longer than the stop itself takes; then it reads
+        received = read_to_end(c, 5.0)
+        missing = [call for call in established if f"Call-ID: {call}".encode() not in received]
+        complete = received.count(body.encode())
+        assert len(established) > 100 and not missing and complete == len(established), (
+            len(established),
+            len(missing),
+            complete,
+        )
         assert s.program.wait(5) == 0
 
 
-def test_a_second_sigterm_and_a_reload_that_moves_the_board_change_nothing_of_a_stop():
+def test_a_second_sigterm_and_a_reload_with_another_board_do_not_affect_a_stop():
     with Stage(engines=1) as s:
         s.play(
             "c0 send INVITE 1\ne0 expect SET_UP {1}\np send SIGTERM\np config b2\nb2 expect after 3\n"
@@ -131,35 +137,35 @@
         assert s.said().count("asked to stop") == 1
 
 
-def test_half_a_set_up_and_those_that_lie_unread_at_sigterm_are_served():
+def test_incomplete_and_unread_setups_at_sigterm_are_served():
     with Stage(engines=1) as s:
         s.play("c1 send OPTIONS\nc1 expect 200\nc2 send OPTIONS\nc2 expect 200\ne0 wait 20")
-        stood, whole = set(), invite(1, patience=3000)
+        established, request = set(), invite(1, patience=3000)
 
-        def answer(name, said):
-            if said.startswith("SET_UP"):
-                s.parties["e0"].send(f"ANSWER {said.split()[1]} 33=d")
-            elif said.startswith("SIP/2.0 200"):
-                stood.add(name)
+        def answer(name, message):
+            if message.startswith("SET_UP"):
+                s.parties["e0"].send(f"ANSWER {message.split()[1]} 33=d")
+            elif message.startswith("SIP/2.0 200"):
+                established.add(name)
                 s.parties["e0"].send(f"RELEASE {name[1]} 31=16")
 
         s.hook = answer
-        s.parties["c1"].sock.sendall(whole[:60])
-        with Frozen(s):
+        s.parties["c1"].sock.sendall(request[:60])
+        with Paused(s):
             s.program.send_signal(signal.SIGTERM)
             s.parties["c2"].sock.sendall(invite(2, patience=3000))
-            s.party("c3").sock.sendall(invite(3, patience=3000))  # not even its connection is accepted
+            s.party("c3").sock.sendall(invite(3, patience=3000))  # its connection is not accepted yet
         while "asked to stop" not in s.said():
             s.pump(0.01)
-        s.parties["c1"].sock.sendall(whole[60:])
+        s.parties["c1"].sock.sendall(request[60:])
         until = time.monotonic() + 3.0
-        while len(stood) < 3 and time.monotonic() < until:
+        while len(established) < 3 and time.monotonic() < until:
             s.pump(0.05)
-        assert stood == {"c1", "c2", "c3"}, s.said()
+        assert established == {"c1", "c2", "c3"}, s.said()
         assert s.program.wait(3) == 0
 
 
-def test_a_call_that_waits_out_its_quiet_time_at_sigterm_still_gets_its_attempt():
+def test_a_call_in_its_retry_delay_at_sigterm_still_gets_its_attempt():
     with Stage(engines=2) as s:
         s.play(
             "c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send RELEASE 1 31=41\np send SIGTERM\n"
@@ -171,30 +177,30 @@
 # the start
 
 
-def unheard(kind):
-    """An address at which a notice board is down, or accepts and says nothing, or does not even accept."""
-    door = socket.socket()
-    door.bind((own_host(), 0))
+def unavailable_board(kind):
+    """Returns the address of a watch server that is down, that sends nothing, or that never accepts."""
+    listener = socket.socket()
+    listener.bind((own_host(), 0))
     if kind != "down":
-        door.listen(8)
-    return door, (fill(door) if kind == "never up" else [])
+        listener.listen(8)
+    return listener, (fill(listener) if kind == "never accepts" else [])
 
 
-@pytest.mark.parametrize("kind", ["down", "silent", "never up"])
-def test_a_start_without_discovery_serves_by_the_list_it_was_given(kind):
-    door, filling = unheard(kind)
-    with Stage(engines=1, config={"board": written(door.getsockname())}) as s:
+@pytest.mark.parametrize("kind", ["down", "silent", "never accepts"])
+def test_a_start_without_the_watch_server_uses_the_configured_endpoint_list(kind):
+    listener, filling = unavailable_board(kind)
+    with Stage(engines=1, config={"board": written(listener.getsockname())}) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK.*INVITE")
-    for sock in (door, *filling):
+    for sock in (listener, *filling):
         sock.close()
 
 
-def test_without_any_list_it_is_not_ready_until_the_board_has_told_one():
+def test_without_an_endpoint_list_it_is_not_ready_until_the_watch_server_sends_one():
     s = Stage(engines=1, config={"known": {"rev": 0, "notices": []}})
     try:
-        door = s.doors.pop("b")  # the board says nothing yet
+        listener = s.doors.pop("b")  # the watch server sends nothing yet
         s.play("c0 send OPTIONS\nc0 expect 503")
-        s.doors["b"] = door
+        s.doors["b"] = listener
         s.play("b expect after 0\nb send 1 ready e0\n")
         while "e0" not in s.parties:
             s.pump(0.05)
@@ -207,35 +213,35 @@
 
 
 def crowd(stage, n):
-    """So many connections on which something was answered, and which are idle."""
+    """Opens `n` idle connections; on each a request has been answered."""
     for k in range(n):
         stage.play(f"c{k} send OPTIONS\nc{k} expect 200")
 
 
-def test_a_set_up_that_lies_unread_is_served_though_its_connection_is_the_first_to_go():
+def test_an_unread_setup_is_served_although_its_connection_is_the_first_to_be_closed():
     with Stage(engines=1, config={"limits": {"sockets": 64}}) as s:
-        crowd(s, 12)  # all that there is room for, beside the call-control API
-        with Frozen(s):
-            more = [socket.create_connection(s.sip) for _ in range(3)]  # the listener is told of first
+        crowd(s, 12)  # the limit, apart from the call-control API
+        with Paused(s):
+            more = [socket.create_connection(s.sip) for _ in range(3)]  # the listener's event precedes c0's
             s.play("c0 send INVITE 1")
         s.play("e0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK.*INVITE")
         for sock in more:
             sock.close()
 
 
-def test_a_connection_that_is_closed_with_bytes_unread_still_brings_the_answer_and_no_reset():
+def test_a_connection_closed_with_unread_bytes_delivers_its_answer_without_a_reset():
     with Stage() as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}")
         c = s.parties.pop("c0").sock
         c.sendall(b"NOTHING\r\n" + b"no colon\r\n\r\n" + b"x" * 300_000)
-        came = read_to_end(c)
-        assert b"400" in came and b"Call-ID: " + call_id(1).encode() in came, came
+        received = read_to_end(c)
+        assert b"400" in received and b"Call-ID: " + call_id(1).encode() in received, received
 
 
 # SIGHUP and the start
 
-# Runs a module as `python -m` does, and raises a signal as the named module is imported the first time.
-RAISES = """
+# Runs the program like `python -m` and raises a signal at the first import of the named module.
+RAISE_SIGNAL_AT_IMPORT = """
 import os, runpy, signal, sys
 class Finder:
     def find_spec(self, name, *_):
@@ -248,23 +254,23 @@
 """
 
 
-def started(at, name, act="pass"):
-    text = RAISES.format(at=at, signal=name, act=act)
+def start_with_signal(at, name, act="pass"):
+    text = RAISE_SIGNAL_AT_IMPORT.format(at=at, signal=name, act=act)
     return Stage(engines=1, command=("-c", text))
 
 
 @pytest.mark.parametrize(
     "at", ["softswitch.lazy_import", "twisted.internet", "softswitch.settings", "softswitch.net.sip_server"]
 )
-def test_sighup_during_the_start_is_carried_out_once_it_serves(at):
-    with started(at, "SIGHUP") as s:
+def test_sighup_during_the_start_is_handled_once_the_program_serves(at):
+    with start_with_signal(at, "SIGHUP") as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}")
         assert s.said().count("configuration reloaded") == 1, s.said()
 
 
 @pytest.mark.parametrize("at", ["softswitch.lazy_import", "softswitch.net.sip_server"])
-def test_sigterm_during_the_start_ends_it_in_good_order_before_anybody_was_let_in(at):
-    stage = started(at, "SIGTERM")
+def test_sigterm_during_the_start_ends_the_program_before_it_listens(at):
+    stage = start_with_signal(at, "SIGTERM")
     try:
         assert stage.program.wait(5) == 0, stage.said()
         assert "serves at" not in stage.said()
@@ -272,7 +278,7 @@
         stage.__exit__()
 
 
-def test_the_deploy_file_keeps_sighup_from_ending_what_has_no_handler_yet():
+def test_the_deploy_file_ignores_sighup_until_a_handler_is_installed():
     import tomllib
 
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
@@ -280,7 +286,7 @@
     assert before.startswith("trap '' HUP; "), run  # an ignored signal stays ignored across exec
 
 
-# callers that have left while their set-ups waited: nothing of theirs is sent on
+# callers that disconnect, cancel or time out while their setups wait: no attempt is sent for them
 
 
 def cancel(stage, n):
@@ -297,147 +303,150 @@
     sock.close()
 
 
-def patience_over(stage, n):
-    """It waits no longer by its own word: it was told at the set-up."""
+def timeout(stage, n):
+    """The timeout that the caller gave in its setup expires."""
     stage.play("c0 expect SIP/2.0 (5|4)\\d\\d .*INVITE")
 
 
-LEAVES = pytest.mark.parametrize("leave", [cancel, close, reset, patience_over])
+ABANDONMENTS = pytest.mark.parametrize("abandon", [cancel, close, reset, timeout])
 PATIENCE = 700
 
 
-def nothing_more(stage, engine, calls):
-    """Within 1.2 s no set-up of these calls came to the engine; another caller's does, so it is there."""
+def assert_no_setup(stage, engine, calls):
+    """Asserts that within 1.2 s the engine receives no setup of these calls.
+
+    In most tests another caller's setup shows that the engine is connected.
+    """
     stage.play(f"{engine} wait 1200")
     party = stage.party(engine)
-    came = [m for m in (party.got if party else []) if m.startswith("SET_UP")]
-    late = [m for m in came if m.split()[1] in map(call_id, calls)]
-    assert not late, f"{len(late)} of {len(calls)} were sent on"
+    setups = [m for m in (party.got if party else []) if m.startswith("SET_UP")]
+    late = [m for m in setups if m.split()[1] in map(call_id, calls)]
+    assert not late, f"{len(late)} of {len(calls)} were sent"
 
 
-@LEAVES
-def test_left_while_held_because_no_engine_takes_it(leave):
+@ABANDONMENTS
+def test_abandoned_while_queued_because_no_engine_is_available(abandon):
     with Stage(engines=1) as s:
         s.play("b expect after 3\nb send 4 draining e0\nc0 wait 50")
         for n in (1, 2, 3):
             s.play(f"c0 send INVITE {n} X-Patience={PATIENCE}")
-        s.play("c1 send OPTIONS\nc1 expect 200\ne0 expect nothing 100")  # they are taken in, and held
-        for n in (1, 2, 3) if leave in (cancel, patience_over) else (0,):
-            leave(s, n)
+        s.play("c1 send OPTIONS\nc1 expect 200\ne0 expect nothing 100")  # they are accepted and queued
+        for n in (1, 2, 3) if abandon in (cancel, timeout) else (0,):
+            abandon(s, n)
         s.play("b send 5 ready e0\nc1 send INVITE 4\ne0 expect SET_UP {4}")
-        nothing_more(s, "e0", [1, 2, 3])
+        assert_no_setup(s, "e0", [1, 2, 3])
 
 
-@LEAVES
-def test_left_during_the_quiet_time_after_an_attempt(leave):
+@ABANDONMENTS
+def test_abandoned_during_the_retry_delay_after_an_attempt(abandon):
     with Stage(engines=2, settings={"family_info": INFO["family_info"] | {"clear_wait": 600.0}}) as s:
         s.play(
             f"c0 send INVITE 1 X-Patience={PATIENCE}\ne0 expect SET_UP {{1}}\n"
             "e0 send RELEASE 1 31=41\ne0 wait 50"
         )
-        leave(s, 1)
-        nothing_more(s, "e1", [1])
-        nothing_more(s, "e0", [1])
+        abandon(s, 1)
+        assert_no_setup(s, "e1", [1])
+        assert_no_setup(s, "e0", [1])
 
 
-def fill(door):
-    """From now on no connection to this listener comes up before one is taken from its queue."""
-    door.listen(0)
-    kept = []
+def fill(listener):
+    """Fills the backlog of a listener: no further connection opens until one is accepted."""
+    listener.listen(0)
+    opened = []
     while True:
         sock = socket.socket()
         sock.settimeout(0.2)
         try:
-            sock.connect(door.getsockname())
+            sock.connect(listener.getsockname())
         except TimeoutError:
-            return kept
-        kept.append(sock)
+            return opened
+        opened.append(sock)
 
 
-@LEAVES
-def test_left_while_waiting_for_a_connection_that_comes_up_late(leave):
-    with Stage(engines=1, settings=SLOW) as s:
+@ABANDONMENTS
+def test_abandoned_while_waiting_for_a_connection_that_opens_late(abandon):
+    with Stage(engines=1, settings=LONG_CONNECT_TIMEOUT) as s:
         s.play("e0 wait 50")
-        door = s.doors.pop("e0")
-        filling = fill(door)
+        listener = s.doors.pop("e0")
+        filling = fill(listener)
         s.parties.pop("e0").sock.close()  # the program opens a new one, which does not come up
         s.play(f"c0 wait 100\nc0 send INVITE 1 X-Patience={PATIENCE}\nc0 send OPTIONS\nc0 expect 200")
-        leave(s, 1)
+        abandon(s, 1)
         for sock in filling:
-            door.accept()[0].close()
+            listener.accept()[0].close()
             sock.close()
-        door.listen(64)
-        s.doors["e0"] = door  # now it may; the kernel tries again within a second or two
+        listener.listen(64)
+        s.doors["e0"] = listener  # now it accepts; the kernel retries within a second or two
         s.play("c8 send INVITE 2\ne0 expect SET_UP {2}")
-        nothing_more(s, "e0", [1])
+        assert_no_setup(s, "e0", [1])
 
 
 def test_a_call_whose_attempt_was_never_written_is_rejected_at_its_deadline():
-    """A connection does not come up, or its engine does not read, until the caller's patience is over.
+    """The connection does not open, or the engine does not read, until the caller's timeout.
 
-    What happened: the module has an attempt in flight and can't know that the set-up still waits in the
-    link's queue, so it failed the call; the caller heard 'SIP/2.0 500 Server Failure' though the engine's
-    listener had accepted no connection and no byte had gone to any engine.
+    The failure: the module has an attempt in flight and cannot know that the setup still waits in the link's
+    queue, so it failed the call. The caller received 'SIP/2.0 500 Server Failure' although the engine's
+    listener had accepted no connection and no byte had been sent to any engine.
     """
-    with Stage(engines=1, settings=SLOW) as s:
+    with Stage(engines=1, settings=LONG_CONNECT_TIMEOUT) as s:
         s.play("e0 wait 50")
-        door = s.doors.pop("e0")
-        filling = fill(door)
+        listener = s.doors.pop("e0")
+        filling = fill(listener)
         s.parties.pop("e0").sock.close()
         s.play("c0 wait 100\nc0 send INVITE 1 X-Patience=700\nc0 expect SIP/2.0 503.*{1}.*X-Later-Ms")
         for sock in filling:
             sock.close()
-        door.close()
+        listener.close()
 
 
-@pytest.mark.parametrize("leave", [cancel, close, reset])
-def test_left_while_the_set_up_lay_unread(leave):
+@pytest.mark.parametrize("abandon", [cancel, close, reset])
+def test_abandoned_while_the_setup_is_unread(abandon):
     with Stage(engines=1) as s:
         s.play("c0 send OPTIONS\nc0 expect 200\nc1 send OPTIONS\nc1 expect 200")
-        with Frozen(s):
+        with Paused(s):
             s.play("c0 send INVITE 1")
-            if leave is cancel:
+            if abandon is cancel:
                 s.play("c0 send CANCEL 1")
             else:
-                leave(s, 1)
-            time.sleep(0.3)  # it waited so long before it is read
+                abandon(s, 1)
+            time.sleep(0.3)  # the setup waits this long before it is read
         s.play("c1 send INVITE 2\ne0 expect SET_UP {2}")
-        nothing_more(s, "e0", [1])
+        assert_no_setup(s, "e0", [1])
 
 
-def test_left_while_the_rest_of_what_was_read_is_put_off_to_a_later_turn():
+def test_abandoned_while_the_rest_of_the_input_is_deferred_to_a_later_turn():
     with Stage(engines=1) as s:
         noise = b"NOTIFY sip:a@net SIP/2.0\r\nContent-Length: 0\r\n\r\n" * 300
         crowd(s, 40)
         s.play("c50 send OPTIONS\nc50 expect 200\nc51 send OPTIONS\nc51 expect 200")
-        with Frozen(s):
-            for k in range(40):  # more than one turn of the loop gives to callers
+        with Paused(s):
+            for k in range(40):  # more than one turn of the event loop processes for callers
                 s.parties[f"c{k}"].sock.sendall(noise)
             s.play("c50 send INVITE 1\nc50 send CANCEL 1")
-            time.sleep(0.3)  # it waited so long before it is read
+            time.sleep(0.3)  # the setup waits this long before it is read
         s.play("c50 expect 200 .*CANCEL\nc51 send INVITE 2\ne0 expect SET_UP {2}")
-        nothing_more(s, "e0", [1])
+        assert_no_setup(s, "e0", [1])
 
 
-def test_a_caller_that_resets_as_its_answer_is_written_harms_no_other_and_its_release_finds_a_way():
+def test_a_reset_during_an_answer_affects_no_other_caller_and_the_release_is_delivered():
     with Stage(engines=1) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\nc1 send INVITE 2\ne0 expect SET_UP {2}")
-        with Frozen(s):
+        with Paused(s):
             s.play("e0 send ANSWER 1 33=d\ne0 send ANSWER 2 33=e")
             reset(s, 1)
         s.play("c1 expect 200 OK.*{2}.*e$\ne0 send RELEASE 1 31=16\ne0 send RELEASE 2 31=16\nc1 expect BYE")
         assert "fault" not in s.said()
 
 
-def test_a_caller_that_reads_no_answer_is_let_go_in_time_and_keeps_nobody_waiting():
+def test_a_caller_that_reads_no_answers_is_disconnected_and_delays_no_other():
     with Stage(engines=1) as s:
         body = "x" * 15_000
         s.play("c0 send OPTIONS\nc0 expect 200\ne0 wait 20")
         c, n = s.parties.pop("c0").sock, 0
         c.setblocking(False)
 
-        def answer(name, said):
-            kind, call, *_ = said.split()
+        def answer(name, message):
+            kind, call, *_ = message.split()
             if kind == "SET_UP":
                 s.parties["e0"].send(f"ANSWER {call} 33={body}")
             elif kind == "TEST":
@@ -461,8 +470,8 @@
         c.close()
 
 
-def test_a_caller_that_closes_its_side_has_left():
-    # by the wire a close and a half close look alike until something is written: nothing more is sent for it
+def test_a_half_close_of_a_caller_counts_as_a_disconnect():
+    # on the wire, a close and a half close look the same until data is written: no attempt is sent any more
     with Stage(engines=1) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}")
         s.parties["c0"].sock.shutdown(socket.SHUT_WR)
@@ -473,55 +482,56 @@
 
 
 def written_to(sock, pattern):
-    """Waits until this lies unread in the socket."""
+    """Waits until these bytes are unread in the socket."""
     until = time.monotonic() + 5.0
     while pattern not in sock.recv(65536, socket.MSG_PEEK):
         assert time.monotonic() < until
         time.sleep(0.002)
 
 
-@pytest.mark.parametrize("heard", [False, True])
-def test_a_release_that_a_reset_took_with_it_is_written_again(heard):
+@pytest.mark.parametrize("acknowledged", [False, True])
+def test_a_release_lost_by_a_reset_is_sent_again_unless_acknowledged(acknowledged):
     with Stage(engines=1) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK.*INVITE")
         e = s.parties.pop("e0")  # it reads nothing of what follows
         s.play("c0 send BYE 1\nc0 expect 200 OK.*BYE")
         written_to(e.sock, bytes((12,)) + bytes.fromhex(call_id(1)))
-        if heard:
+        if acknowledged:
             e.send("HEARD 1")
             s.play("c0 send INVITE 2")
             written_to(e.sock, bytes((1,)) + bytes.fromhex(call_id(2)))
             e.send("ANSWER 2 33=d")
-            s.play("c0 expect 200 OK.*INVITE")  # it comes behind
+            s.play("c0 expect 200 OK.*INVITE")  # it follows the acknowledgement
         e.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         e.sock.close()
-        if heard:
+        if acknowledged:
             s.play("e0 expect nothing 300")
         else:
             s.play("e0 expect RELEASE {1} 31=16")
 
 
-def test_a_call_that_goes_back_to_an_engine_that_refuses_connections_is_not_forgotten_there():
+def test_setups_for_an_engine_that_refuses_connections_are_rejected_without_delay():
     with Stage(engines=1, settings={"limits": INFO["limits"] | {"send_cap": 6}}) as s:
         s.play("c0 send OPTIONS\nc0 expect 200\ne0 wait 20")
         s.doors.pop("e0").close()
         s.parties.pop("e0").sock.close()
         s.play("c0 wait 30\nc0 send INVITE 1\nc0 send INVITE 2")
-        began = time.monotonic()
-        s.play("c0 expect SIP/2.0 503.*INVITE\nc0 expect SIP/2.0 503.*INVITE")  # a 500 at its end before
-        assert time.monotonic() - began < 2.5
+        started_at = time.monotonic()
+        # Formerly the answer was a 500 at the deadline.
+        s.play("c0 expect SIP/2.0 503.*INVITE\nc0 expect SIP/2.0 503.*INVITE")
+        assert time.monotonic() - started_at < 2.5
 
 
-def test_releases_beyond_what_is_kept_for_an_engine_that_does_not_come_up_are_counted():
-    with Stage(engines=1, settings=SLOW) as s:
+def test_releases_beyond_the_queue_limit_of_an_unreachable_engine_are_counted():
+    with Stage(engines=1, settings=LONG_CONNECT_TIMEOUT) as s:
         s.play("e0 wait 50")
-        door = s.doors.pop("e0")
-        filling = fill(door)
+        listener = s.doors.pop("e0")
+        filling = fill(listener)
         s.parties.pop("e0").sock.close()  # the program opens a new one, which does not come up
         s.play("c0 wait 100")
         for n in range(10):
-            s.play(f"c0 send INVITE {100_000 + n}")  # they wait for the connection too
-        for n in range(5_000):  # of calls that the process before may have had; 4,096 of them are passed on
+            s.play(f"c0 send INVITE {100_000 + n}")  # these wait for the connection, too
+        for n in range(5_000):  # of calls that the predecessor may have had; 4,096 of them are passed on
             s.party("c0").send(f"BYE {n}")
             s.pump(0.0)
         s.play("c0 send OPTIONS")
@@ -530,65 +540,67 @@
         s.play("p send SIGUSR1\nc0 wait 100")
         assert '"releases to engines dropped":10,' in s.said(), s.said()[-500:]
         assert '"heir releases":4096' in s.said()
-        for sock in (door, *filling):
+        for sock in (listener, *filling):
             sock.close()
 
 
-@pytest.mark.parametrize(("state", "tested"), [("ready", True), ("draining", False)])
-def test_an_engine_that_drains_is_not_tested_at_the_beat_that_it_no_longer_keeps(state, tested):
-    # it was: three in four tests of a day of releases went to engines that had told their last state
+@pytest.mark.parametrize(("state", "probed"), [("ready", True), ("draining", False)])
+def test_a_draining_engine_without_load_reports_is_not_probed_at_the_report_interval(state, probed):
+    # formerly three in four probes of a day of releases went to engines that had sent their last load report
     with Stage(engines=1) as s:
         s.play(
             f"b expect after 3\nc0 send INVITE 1\ne0 expect SET_UP {{1}}\nb send 4 {state} e0\n"
             "e0 send ANSWER 1 33=d\nc0 expect 200 OK.*INVITE"
         )
-        began = time.monotonic()
-        assert (s.next("e0", 2.5) is not None) == tested
-        if not tested:
-            s.play("e0 expect TEST\ne0 expect end")  # in time for its calls all the same
-            assert 2.9 < time.monotonic() - began < 5.5
+        started_at = time.monotonic()
+        assert (s.next("e0", 2.5) is not None) == probed
+        if not probed:
+            s.play("e0 expect TEST\ne0 expect end")  # still in time for its calls
+            assert 2.9 < time.monotonic() - started_at < 5.5
             while s.parties["e0"].sock.fileno() < 0:
                 s.pump(0.05)
-            s.play("e0 send RELEASE 1 31=16\nc0 expect BYE.*{1}")  # on the new one
+            s.play("e0 send RELEASE 1 31=16\nc0 expect BYE.*{1}")  # on the new link
 
 
-def test_an_idle_link_that_its_engine_closes_as_a_set_up_crosses_costs_one_attempt_and_its_quiet_time():
+def test_an_idle_link_closed_while_a_setup_crosses_costs_one_attempt_and_its_retry_delay():
     with Stage(engines=2) as s:
         s.play("c0 send OPTIONS\nc0 expect 200\ne0 wait 50")
         e = s.parties.pop("e0")
         s.play("c0 send INVITE 1")
         written_to(e.sock, bytes((1,)) + bytes.fromhex(call_id(1)))
-        e.sock.close()  # unread: a reset, as where both closed at once
-        began = time.monotonic()
+        e.sock.close()  # with unread data, hence a reset, as if both sides had closed at once
+        started_at = time.monotonic()
         s.play("e1 expect SET_UP {1}\ne1 send ANSWER 1 33=d\nc0 expect 200 OK.*INVITE")
-        assert time.monotonic() - began >= INFO["family_info"]["clear_wait"] / 1000
+        assert time.monotonic() - started_at >= INFO["family_info"]["clear_wait"] / 1000
 
 
-@pytest.mark.parametrize("after", ["closes", "resets", "is silent", "spoils it"])
-def test_an_answer_that_is_cut_short_is_none_and_its_call_goes_elsewhere(after):
+@pytest.mark.parametrize("after", ["closes", "resets", "is silent", "corrupts it"])
+def test_an_incomplete_answer_is_discarded_and_its_call_retried(after):
     with Stage(engines=2) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}")
         e = s.parties["e0"] if after == "is silent" else s.parties.pop("e0")
         e.sock.sendall(bytes.fromhex("0030" + "09" + call_id(1) + "21"))
-        if after == "spoils it":
+        if after == "corrupts it":
             e.sock.sendall(b"\xff" * 0x30)
         elif after == "resets":
             e.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         if after in ("closes", "resets"):
             e.sock.close()
 
-        def answer(name, said):
-            if said.startswith("SET_UP"):  # the other one, or the same on its new connection
+        def answer(name, message):
+            if message.startswith("SET_UP"):  # at the other engine, or at the same one on its new connection
                 s.parties[name].send("ANSWER 1 33=whole")
-            elif said.startswith("SIP"):
-                heard.append(said)
+            elif message.startswith("SIP"):
+                answers.append(message)
 
-        heard, s.hook = [], answer
+        answers, s.hook = [], answer
         s.play("c0 wait 1000")
-        assert len(heard) == 1 and heard[0].startswith("SIP/2.0 200 OK") and heard[0].endswith("whole"), heard
+        assert (
+            len(answers) == 1 and answers[0].startswith("SIP/2.0 200 OK") and answers[0].endswith("whole")
+        ), answers
 
 
-def test_an_answer_after_its_call_was_given_up_reaches_nobody_and_frees_its_lines():
+def test_an_answer_to_an_abandoned_call_is_not_delivered():
     with Stage(engines=1) as s:
         s.play(
             "c0 send INVITE 1\ne0 expect SET_UP {1}\nc0 send CANCEL 1\nc0 expect 200 .*CANCEL\n"
@@ -597,12 +609,12 @@
         )
 
 
-def test_callers_that_give_up_at_once_and_come_again_are_not_sent_on():
+def test_setups_that_are_cancelled_at_once_are_not_sent():
     with Stage(engines=1) as s:
         s.play("c0 send OPTIONS\nc0 expect 200\ne0 wait 20")
         cancel = "CANCEL sip:77@net SIP/2.0\r\nCall-ID: {}\r\nCSeq: 1 CANCEL\r\nContent-Length: 0\r\n\r\n"
-        gone = b"".join(invite(n) + cancel.format(call_id(n)).encode() for n in range(10, 50))
-        s.parties["c0"].sock.sendall(gone + invite(50, patience=3000))
+        cancelled = b"".join(invite(n) + cancel.format(call_id(n)).encode() for n in range(10, 50))
+        s.parties["c0"].sock.sendall(cancelled + invite(50, patience=3000))
         s.play("e0 expect SET_UP {50}\ne0 send ANSWER 50 33=d")
         answers = [s.next("c0") for _ in range(41)]
         assert sum("CANCEL" in a and "200 OK" in a for a in answers) == 40
@@ -610,7 +622,7 @@
 
 
 def board_record(stage, ident, door, state, cell):
-    """One line of the board's list, for an engine of any id at any of the stage's addresses."""
+    """Returns an entry of the endpoint list for an engine id at an address of the stage, in hex."""
     port = stage.doors[door].getsockname()[1]
     return struct.pack(
         ">I4sHBBBHIQ", ident, socket.inet_aton(stage.host), port, state, 0, 0, cell, 1000, 0
@@ -622,23 +634,23 @@
     return f"b send raw - {len(body) // 2:08x}{body}"
 
 
-def test_a_new_engine_at_the_address_of_one_that_has_gone_serves_under_its_own_id():
+def test_a_new_engine_at_the_address_of_a_removed_one_serves_under_its_own_id():
     with Stage(engines=1) as s:
         s.play(
             "c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK.*INVITE\n"
             "b expect after 3\n"
             + changes(s, 4, board_record(s, 0, "e0", 2, 0), board_record(s, 7, "e0", 0, 0))
         )
-        s.play("c0 expect BYE.*{1}.*cause=41")  # the call went with the old one
+        s.play("c0 expect BYE.*{1}.*cause=41")  # the call ended with the old engine
         s.play(
             "e0 wait 100\nc0 send INVITE 2\ne0 expect SET_UP {2}\ne0 send ANSWER 2 33=e\n"
             "c0 expect 200 OK.*{2}"
         )
 
 
-def test_engines_drained_and_replaced_while_a_call_rests_get_nothing_of_it():
-    quiet = {"family_info": INFO["family_info"] | {"clear_wait": 600.0}}
-    with Stage(engines=3, settings=quiet) as s:  # e2 is in no cell that the class may go to
+def test_engines_drained_or_removed_during_a_retry_delay_get_no_attempt():
+    retry_delay = {"family_info": INFO["family_info"] | {"clear_wait": 600.0}}
+    with Stage(engines=3, settings=retry_delay) as s:  # e2 is in no cell that the class may go to
         s.play(
             "b expect after 3\nb send 4 gone e2\ne2 expect end\nc0 send INVITE 1\ne0 expect SET_UP {1}\n"
             "e0 send RELEASE 1 31=41\n"
@@ -655,17 +667,17 @@
             assert not any(m.startswith("SET_UP") for m in s.party(name).got)
 
 
-# the notice board
+# the endpoint watch
 
 
 @pytest.mark.parametrize(
     "frame",
     [
-        "b send 6 draining e1",  # 4 and 5 did not come
-        "b send raw - 00000009000000000000000500",  # nothing new, and 5 was the last: 4 and 5 did not come
+        "b send 6 draining e1",  # 4 and 5 are missing
+        "b send raw - 00000009000000000000000500",  # no new entry, and the last was 5: 4 and 5 are missing
     ],
 )
-def test_events_that_are_missing_are_asked_for_again_and_once_only(frame):
+def test_missing_updates_are_requested_again_but_only_once(frame):
     with Stage() as s:
         s.play(
             f"b expect after 3\n{frame}\nb expect end\nb expect after 3\nb send 4 gone e0\n"
@@ -673,31 +685,31 @@
             "c0 send INVITE 1\ne0 expect nothing 150\ne1 expect nothing 150"
         )
         assert "events after 3 are missing before" in s.said()
-        # the next ones it leaves out at each try: they are asked for once, then taken for none
+        # the next ones are missing at every request: they are requested once, then taken as nonexistent
         s.play("b send 9 ready e0\nb expect end\nb expect after 5\nb send 9 ready e0\ne0 expect SET_UP {1}")
 
 
 @pytest.mark.parametrize("begun", ["", "00000024", "0000002400000000000004"])
-def test_a_watch_that_dies_between_frames_or_in_one_or_says_nothing_is_followed_by_another(begun):
+def test_a_watch_connection_that_ends_or_is_silent_is_replaced(begun):
     with Stage() as s:
         s.play("b expect after 3")
         board = s.parties.pop("b")
         board.sock.sendall(bytes.fromhex(begun))
         board.sock.close()
         s.play("b expect after 3\nb send 4 gone e0\ne0 expect end")
-        s.parties["b"].beat = lambda: None  # from now on it says nothing, and does not close
+        s.parties["b"].beat = lambda: None  # from now on it sends nothing and stays open
         s.play("b expect end\nb expect after 4\nb send 5 gone e1\ne1 expect end")
 
 
 @pytest.mark.parametrize(
     "frame",
     [
-        "0000000200" + "00",  # shorter than its head
-        "0000000c" + "0000000000000004" + "02" + "010203",  # no whole record
+        "0000000200" + "00",  # shorter than its header
+        "0000000c" + "0000000000000004" + "02" + "010203",  # incomplete record
         "ffffffff",  # longer than any frame
     ],
 )
-def test_a_frame_that_can_not_be_read_ends_the_watch_and_another_tells_the_rest(frame):
+def test_an_unreadable_frame_closes_the_watch_connection_and_the_next_one_continues(frame):
     with Stage() as s:
         s.play(
             f"b expect after 3\nb send raw - {frame}\nb expect end\nb expect after 3\nb send 4 gone e0\n"
@@ -706,7 +718,7 @@
         assert s.said().count("connection closed") == 1
 
 
-def test_a_new_watch_that_says_nothing_is_left_too():
+def test_a_new_watch_connection_that_is_silent_is_closed_too():
     with Stage() as s:
         silent = []
         s.play("b expect after 3")
--- a/tests/test_release_delivery.py
+++ b/tests/test_release_delivery.py
@@ -280,7 +280,7 @@
 
 
 def test_a_call_that_ended_before_its_answer_fails_and_is_not_retried():
-    """A retry under the same id would establish a call while its caller is still to receive a release of it."""
+    """A retry under the same id would establish a call whose first release is still due to the caller."""
     with Stage(settings=LONG_DEADLINE) as s:
         s.play("""
             c0 send INVITE 1
