--- a/softswitch/core/call_history.py
+++ b/softswitch/core/call_history.py
@@ -22,8 +22,8 @@
     """One event of a call or a connection."""
 
     at: float  # ms
-    what: str
-    where: str
+    event: str
+    detail: str  # place or parameters of the event; empty: none
 
 
 @dataclass(slots=True)
@@ -56,9 +56,9 @@
         self.dropped = 0
         self.changed: dict[str, None] = {}  # ids with new entries since the last `pop_changed`
 
-    def note(self, call: str, what: str, where: str = "") -> None:
+    def note(self, call: str, event: str, detail: str = "") -> None:
         """Adds an entry to the trace of a call, or of the connections if `call` is CONNECTIONS."""
-        entry = Entry(self.clock(), what, where)
+        entry = Entry(self.clock(), event, detail)
         self.changed[call] = None
         if call == CONNECTIONS:
             self.connections.add(entry, CONNECTION_ENTRIES)
@@ -94,7 +94,7 @@
 
 
 def _report_entry(entry: Entry, offset: float) -> dict[str, Any]:
-    reported: dict[str, Any] = {"ms": round(entry.at + offset, 1), "what": entry.what}
-    if entry.where:
-        reported["where"] = entry.where
+    reported: dict[str, Any] = {"ms": round(entry.at + offset, 1), "what": entry.event}
+    if entry.detail:
+        reported["where"] = entry.detail
     return reported
--- a/softswitch/core/figures.py
+++ b/softswitch/core/figures.py
@@ -13,7 +13,7 @@
 
 from softswitch.core.call import CallResult
 
-MAX_VANISHED_CLASSES = 64  # rows kept for classes that are no longer in the settings
+MAX_REMOVED_CLASSES = 64  # rows kept for classes that are no longer in the settings
 
 # The column in which a call is counted, by its result.
 COLUMNS = {
@@ -28,7 +28,7 @@
 class ClassFigures:
     """The row of one call class."""
 
-    taken: int = 0  # call setups received, each of which gets one answer
+    taken: int = 0  # call setups received, without duplicates
     fulfilled: int = 0  # established
     throttled: int = 0  # rejected: the caller can safely retry
     faulted: int = 0  # failed
@@ -53,16 +53,16 @@
         self.set_classes(classes)
 
     def set_classes(self, classes: Iterable[str]) -> None:
-        """Sets the classes of the settings. Rows of removed classes are kept up to MAX_VANISHED_CLASSES."""
+        """Sets the classes of the settings. Keeps the newest MAX_REMOVED_CLASSES rows of removed classes."""
         self.current = dict.fromkeys(classes)
         for name in self.current:
             self.rows[name] = self.rows.pop(name) if name in self.rows else ClassFigures()
-        vanished = [name for name in self.rows if name not in self.current]
-        for name in vanished[:-MAX_VANISHED_CLASSES]:
+        removed = [name for name in self.rows if name not in self.current]
+        for name in removed[:-MAX_REMOVED_CLASSES]:
             self.relayed_of_dropped_rows += self.rows.pop(name).relayed
 
     def for_class(self, call_class: str) -> ClassFigures:
-        """Returns the row of a class."""
+        """Returns the row of a class, or the common row of all unknown classes."""
         return self.rows.get(call_class) or self.unknown
 
     def count_result(self, call_class: str, result: CallResult) -> None:
--- a/softswitch/process/listeners.py
+++ b/softswitch/process/listeners.py
@@ -53,30 +53,30 @@
         self.address = address
         predecessors = self.handover.predecessors(address.pair) if self.handover else []
         if not predecessors:
-            self._endpoints_known()
+            self._mark_endpoints_known()
             self._serve({})
             return
         # The list in the configuration file may be out of date: wait for updates from the endpoint watch.
-        self.switch.wheel.call_after(LIST_WAIT, self._endpoints_known)
+        self.switch.wheel.call_after(LIST_WAIT, self._mark_endpoints_known)
         self._request_handover(predecessors)
 
-    def _endpoints_known(self) -> None:
+    def _mark_endpoints_known(self) -> None:
         if self.watch.revision:
             self.switch.lifecycle.endpoints_received(self.switch.wheel.now)
 
     def _request_handover(self, predecessors: list[Path]) -> None:
         assert self.handover is not None
-        self.handover.seek(predecessors, self._handed_over)
+        self.handover.seek(predecessors, self._handover_finished)
 
-    def _handed_over(self, received: Descriptors | None) -> None:
+    def _handover_finished(self, received: Descriptors | None) -> None:
         """Takes over the listeners, or opens new ones if no predecessor has handed any over."""
         if received and not self.switch.lifecycle.endpoints_known:
             # Until the list is known, this process would reject callers; the predecessor still accepts them.
-            self.switch.wheel.call_after(CHECK_INTERVAL, self._handed_over, received)
+            self.switch.wheel.call_after(CHECK_INTERVAL, self._handover_finished, received)
             return
         try:
             self._serve(received or {})
-            self._endpoints_known()
+            self._mark_endpoints_known()
         except OSError as e:
             self._retry_or_fail(e)
 
--- a/softswitch/process/shutdown.py
+++ b/softswitch/process/shutdown.py
@@ -27,9 +27,9 @@
 CALLERS_DISCONNECT_AFTER = 150.0
 UNWRITTEN_UNTIL = 300.0
 CHECK_INTERVAL = 20.0
-# Ms before the end of a stop after which no connection to an engine is opened: releases sent on a connection
+# Ms before the end of a stop in which no connection to an engine is opened: releases sent on a connection
 # that is still being opened at the end would be lost.
-ENGINES_OPENED_UNTIL = 200.0
+NO_ENGINE_CONNECTIONS_BEFORE_END = 200.0
 
 
 class Shutdown:
@@ -78,16 +78,16 @@
     def _close_when_done(self, earliest: float, deadline: float) -> None:
         now, lifecycle = self.switch.wheel.now, self.switch.lifecycle
         callers_connected = lifecycle.handed_over and len(self.sip.connections) > 0
-        idle = not self.switch.calls or not self._can_pass_on()
-        done = now >= earliest and idle and not callers_connected
+        nothing_to_serve = not self.switch.calls or not self._can_pass_on()
+        done = now >= earliest and nothing_to_serve and not callers_connected
         if not done and now < deadline:
             self._update_reading()
-            if deadline - now < ENGINES_OPENED_UNTIL:
+            if deadline - now < NO_ENGINE_CONNECTIONS_BEFORE_END:
                 self.engines.stop_opening()
             self.switch.wheel.call_after(CHECK_INTERVAL, self._close_when_done, earliest, deadline)
             return
         if self.engines.reads:
-            self.engines.read_pending()  # what is read is passed on to the connected callers
+            self.engines.read_pending()  # releases are passed on if callers are connected
         self.engines.set_reading(False)
         lifecycle.close()  # from now on call setups are rejected, and callers disconnect
         self.switch.answer_all()
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -7,7 +7,7 @@
 from support.policy_driver import settings
 from support.switch_bench import A, Bench
 
-from softswitch.core.figures import MAX_VANISHED_CLASSES, Figures
+from softswitch.core.figures import MAX_REMOVED_CLASSES, Figures
 from softswitch.core.lifecycle import (
     DRAIN_ADMITS_FOR,
     DRAIN_KEEPS_CONNECTION_FOR,
@@ -70,13 +70,13 @@
 
 def test_rows_of_removed_classes_are_bounded_and_attempts_stay_counted():
     figures = Figures(["c0"])
-    for n in range(3 * MAX_VANISHED_CLASSES):
+    for n in range(3 * MAX_REMOVED_CLASSES):
         figures.for_class(f"c{n}").relayed += 1
         figures.set_classes([f"c{n + 1}"])
     report = figures.report(0, 0, 0)
-    assert len(report["operations"]) == MAX_VANISHED_CLASSES + 1
-    assert report["relayed"] == 3 * MAX_VANISHED_CLASSES
-    assert list(report["operations"])[-1] == f"c{3 * MAX_VANISHED_CLASSES}"
+    assert len(report["operations"]) == MAX_REMOVED_CLASSES + 1
+    assert report["relayed"] == 3 * MAX_REMOVED_CLASSES
+    assert list(report["operations"])[-1] == f"c{3 * MAX_REMOVED_CLASSES}"
 
 
 def test_a_stricter_class_applies_to_new_calls_only():
