--- a/softswitch/core/lifecycle.py
+++ b/softswitch/core/lifecycle.py
@@ -16,9 +16,8 @@
 DRAIN_LATE_SETUP_FROM = 1_700.0  # call setups received after this ...
 DRAIN_LATE_SETUP_UNTIL = 3_500.0  # ... are failed after this
 NEW_CONNECTION_TIMEOUT = 500.0  # ms until the first request is due on a connection opened after a drain
-STOP_REJECTS_FOR = (
-    300.0  # ms before the end of a stop: call setups are rejected so that connections become idle
-)
+# Ms before the end of a stop in which call setups are rejected, so that connections become idle.
+STOP_REJECTS_FOR = 300.0
 
 
 class Phase(Enum):
@@ -32,7 +31,7 @@
 
 
 class Lifecycle:
-    """Holds the phase and the conditions that determine it, and answers what the phase allows."""
+    """Holds the phase and its conditions, and decides what each phase allows."""
 
     def __init__(self) -> None:
         self.listening = False  # the callers' listener is open
--- a/softswitch/core/timer_wheel.py
+++ b/softswitch/core/timer_wheel.py
@@ -25,9 +25,8 @@
         self.now = clock()
         self.lag = 0.0  # how long before `now` input may have arrived without being read
         self.idle_until = self.now  # no tick runs before this time
-        self.on_earlier: Callable[[float], None] | None = (
-            None  # called with a due time that precedes all others
-        )
+        # Called with the due time of a new timer that precedes all others.
+        self.on_earlier: Callable[[float], None] | None = None
         self._clock = clock
         self._last_tick = int(self.now // tick)  # number of the last tick that ran
         self._timers: dict[int, list[Timer]] = {}  # by tick number
