--- a/softswitch/net/release_sender.py
+++ b/softswitch/net/release_sender.py
@@ -1,4 +1,4 @@
-"""Sends callers the releases that they are owed, on whichever of their connections can carry one."""
+"""Sends pending releases to callers, on any connection that can carry them."""
 
 from __future__ import annotations
 
@@ -10,55 +10,56 @@
 from softswitch.net.sip_codec import encode_bye
 from softswitch.net.sip_connection import SipConnection
 
-REVIEW_INTERVAL = 100.0  # ms between two looks at the releases that were not acknowledged
+REVIEW_INTERVAL = 100.0  # ms between two reviews of the pending releases
 
 
 class ReleaseSender:
-    """Writes the messages of a `ReleaseQueue`, and reviews it while it holds any."""
+    """Writes the messages of a `ReleaseQueue`, and reviews the queue while releases are pending."""
 
     def __init__(self, name: str, switch: Switch) -> None:
         self.name = name
         self.switch = switch
         self.queue = ReleaseQueue()
-        self.on_reachable_change: Callable[[], None] | None = None
+        self.on_reachable_change: Callable[[], None] | None = None  # called when `callers_reachable` changes
         self._review_scheduled = False
 
     def caller_active(self, connection: SipConnection) -> None:
-        """A caller is active on the connection."""
+        """Records that a caller is active on the connection, and sends it the releases that wait for one."""
         was_reachable = self.callers_reachable
         messages = self.queue.caller_active(self.switch.wheel.now, connection)
         if messages:
             self._send(messages)
-        self._note_reachable(was_reachable)
+        self._notify_reachable_change(was_reachable)
 
     def connection_closed(self, connection: SipConnection) -> None:
-        """The connection can carry no release any more."""
+        """Sends the unacknowledged releases of a closed connection on other connections."""
         was_reachable = self.callers_reachable
         self._send(self.queue.connection_closed(self.switch.wheel.now, connection))
-        self._note_reachable(was_reachable)
+        self._notify_reachable_change(was_reachable)
 
     @property
     def callers_reachable(self) -> bool:
-        """Whether a release would find a connection to go out on."""
+        """Whether any connection can carry a release."""
         return bool(self.queue.connections)
 
-    def _note_reachable(self, was_reachable: bool) -> None:
+    def _notify_reachable_change(self, was_reachable: bool) -> None:
         if self.on_reachable_change is not None and self.callers_reachable != was_reachable:
             self.on_reachable_change()
 
     def release(self, call: str, number: str, cause: int, connection: Hashable | None) -> None:
-        """An established call is over; `connection` is where it was set up.
+        """Sends the release of an ended call; `connection` is where it was set up.
 
-        Any connection of a caller may carry the release; with none open it goes out on the next one.
+        Any caller's connection may carry it. If none is open, it goes out on the next one, or is passed to
+        the peer process if callers now connect there.
         """
         peer = self.switch.peer_process
-        if peer is not None and self._callers_are_elsewhere():
+        if peer is not None and self._callers_use_successor():
             peer.release_undeliverable(call, cause)
         else:
             self._send(self.queue.add(self.switch.wheel.now, call, number, cause, connection))
 
-    def _callers_are_elsewhere(self) -> bool:
-        """Whether callers come to the next process."""
+    def _callers_use_successor(self) -> bool:
+        """Whether callers now connect to the successor process."""
         return not self.queue.connections and self.switch.lifecycle.handed_over
 
     def _send(self, messages: list[ReleaseMessage]) -> None:
@@ -74,17 +75,17 @@
             self.switch.wheel.call_after(REVIEW_INTERVAL, self._review)
 
     def _review(self) -> None:
-        """Looks at the releases that are pending; none is scheduled while there are none."""
+        """Hands over, retries or drops pending releases. Not scheduled while there are none."""
         self._review_scheduled = False
         peer = self.switch.peer_process
-        if peer is not None and self._callers_are_elsewhere():
+        if peer is not None and self._callers_use_successor():
             for call, release in self.queue.without_connection():
                 self.queue.hand_over(call)
                 peer.release_undeliverable(call, release.cause)
         self._send(self.queue.advance(self.switch.wheel.now))
-        self._count()
+        self._update_counters()
 
-    def _count(self) -> None:
+    def _update_counters(self) -> None:
         totals = {
             Count.CALLER_RELEASES_UNSENT: self.queue.unsent,
             Count.CALLER_RELEASES_UNACKNOWLEDGED: self.queue.unacknowledged,
--- a/softswitch/net/sip_calls.py
+++ b/softswitch/net/sip_calls.py
@@ -1,4 +1,4 @@
-"""The calls that came by SIP: callers' requests, and the answers to them."""
+"""The calls of SIP callers: carries out their requests and answers them."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 from softswitch.net.sip_codec import SipMessage, SipRequest, parse_setup
 from softswitch.net.sip_connection import SipConnection
 
-MAX_PENDING = 1_024  # call setups pending on one connection ...
-MAX_PENDING_BEFORE_FIRST_CALL = 64  # ... and before the first call was established there
-LIGHT_PENALTY = 0.25  # for what a good caller may do now and then
-UNKNOWN_NUMBER = "call"  # in the BYE of a call whose setup this process did not see
+MAX_PENDING = 1_024  # max call setups pending on one connection
+MAX_PENDING_BEFORE_FIRST_CALL = 64  # the same, before the first call is established there
+LIGHT_PENALTY = 0.25  # for requests that a correct caller may send occasionally
+# Replaces the called number in the BYE of a call that another process set up.
+UNKNOWN_NUMBER = "call"
 ANSWER_CODES = {
     FailureReason.REJECTED: 503,
     FailureReason.FAILED: 500,
@@ -32,7 +33,7 @@
 
 @dataclass(slots=True)
 class PendingSetup:
-    """A call setup that is owed an answer."""
+    """A call setup that is not answered yet."""
 
     connection: SipConnection
     message: SipMessage
@@ -41,14 +42,14 @@
 
 @dataclass(slots=True)
 class EstablishedCall:
-    """Where an established call was set up, and the number called."""
+    """The connection on which an established call was set up, and the called number."""
 
     connection: SipConnection
     number: str
 
 
 class Method:
-    """What is done with the requests of one method, and the counter that counts them."""
+    """The handler of one SIP method, and the counter of its requests."""
 
     __slots__ = ("answered_at_once", "counter", "run", "sent_by_callers")
 
@@ -61,30 +62,30 @@
     ) -> None:
         self.run = run
         self.counter = CountFamily.SIP_REQUESTS + name
-        self.sent_by_callers = sent_by_callers  # and not by health checks
-        self.answered_at_once = answered_at_once  # an INVITE's answer comes later, an ACK has none
+        self.sent_by_callers = sent_by_callers  # False: health checks send it too
+        self.answered_at_once = answered_at_once  # False: answered later (INVITE), or never (ACK, NOTIFY)
 
 
-class ConnectionKeeper(Protocol):
-    """Who has to know what a connection is used for."""
+class IdleTracker(Protocol):
+    """Tracks which connections are idle."""
 
     def update_idle(self, connection: SipConnection) -> None:
-        """The connection was answered, or its pending calls changed."""
+        """Called when a request was answered on the connection, or its pending calls changed."""
 
 
 class SipCalls:
-    """Owner of the pending and the established calls of SIP callers. Fulfils `core.call.Caller`."""
+    """Owner of the pending and the established calls of SIP callers. Implements `core.call.Caller`."""
 
     calls_survive = True
 
-    def __init__(self, switch: Switch, releases: ReleaseSender, keeper: ConnectionKeeper) -> None:
+    def __init__(self, switch: Switch, releases: ReleaseSender, idle_tracker: IdleTracker) -> None:
         self.switch = switch
         self.releases = releases
-        self.keeper = keeper
+        self.idle_tracker = idle_tracker
         self.pending: dict[str, PendingSetup] = {}
-        self._other = Method(self._refuse_method, "other", sent_by_callers=False)
+        self._other = Method(self._reject_method, "other", sent_by_callers=False)
         self.established: dict[str, EstablishedCall] = {}
-        self._methods = {  # the others are answered 405
+        self._methods = {  # any other method is answered 405
             "INVITE": Method(self._invite, "INVITE", answered_at_once=False),
             "CANCEL": Method(self._cancel, "CANCEL"),
             "BYE": Method(self._bye, "BYE"),
@@ -96,19 +97,22 @@
     # requests
 
     def handle(self, connection: SipConnection, request: SipRequest) -> None:
-        """Carries out a request of a caller."""
+        """Counts a request and carries it out."""
         method = self._methods.get(request.method, self._other)
         self.switch.counters[method.counter] += 1
         if method.sent_by_callers:
             self._caller_active(connection)
         method.run(connection, request)
         if method.answered_at_once:
-            self.keeper.update_idle(connection)
+            self.idle_tracker.update_idle(connection)
 
     def _caller_active(self, connection: SipConnection) -> None:
-        """Releases that wait for a connection may go out here. The platform's health checks drop them."""
+        """Records that a caller is active: queued releases may go out here.
+
+        The platform's health checks must not count as callers, because they discard releases.
+        """
         connection.caller_active_at = self.switch.wheel.now
-        if connection.closing_since is None:
+        if connection.closing_started_at is None:
             self.releases.caller_active(connection)
 
     def _invite(self, connection: SipConnection, request: SipRequest) -> None:
@@ -116,7 +120,7 @@
             setup = parse_setup(request)
         except (ValueError, OverflowError) as e:
             self.switch.counters[Count.BAD_MESSAGES] += 1
-            logger.warning("caller: set-up that can't be read, answered 400: {}", e)
+            logger.warning("caller: invalid call setup, answered 400: {}", e)
             connection.answer(400, request.message)
             connection.penalize()
             return
@@ -130,7 +134,7 @@
             return
         self.pending[setup.call] = PendingSetup(connection, request.message, setup.number)
         connection.pending_calls.add(setup.call)
-        self.keeper.update_idle(connection)
+        self.idle_tracker.update_idle(connection)
         reason = self.switch.accept_call(setup, self, self.switch.wheel.now - connection.received_at)
         if reason is not None:
             self.call_failed(setup.call, reason, 0.0)
@@ -148,7 +152,7 @@
         known = self.switch.calls[request.call_id]
         if pending and pending.connection is connection and known.request.description == request.body:
             connection.penalize(LIGHT_PENALTY)
-            return  # the same call setup again: its answer is on the way
+            return  # a retransmission: the first INVITE is answered later
         connection.answer(ANSWER_CODES[FailureReason.DUPLICATE], request.message)
         connection.penalize()
 
@@ -168,9 +172,9 @@
         connection.answer(200 if self.switch.lifecycle.healthy else 503, request.message)
 
     def _ignore(self, connection: SipConnection, request: SipRequest) -> None:
-        """ACK needs no answer, and NOTIFY wants none."""
+        """Ignores ACK and NOTIFY: neither is answered."""
 
-    def _refuse_method(self, connection: SipConnection, request: SipRequest) -> None:
+    def _reject_method(self, connection: SipConnection, request: SipRequest) -> None:
         connection.answer(405, request.message)
         connection.penalize()
 
@@ -178,61 +182,61 @@
         pending = self.pending.pop(call, None)
         if pending:
             pending.connection.pending_calls.discard(call)
-            self.keeper.update_idle(pending.connection)
+            self.idle_tracker.update_idle(pending.connection)
 
     def handle_response(self, connection: SipConnection, message: SipMessage) -> None:
-        """An answer to a release of ours: whatever it says of the call, the caller knows."""
+        """Processes the response to a BYE: whatever its status, the caller has received the release."""
         self.releases.queue.acknowledge(message.call_id)
         if self.switch.history:
-            what = f"caller answered {message.start_line[:40]}"
-            self.switch.history.note(message.call_id, what, connection.name)
+            event = f"caller answered {message.start_line[:40]}"
+            self.switch.history.note(message.call_id, event, connection.name)
 
     # connections
 
     def fail_calls_of(self, connection: SipConnection) -> None:
-        """The connection is being closed by us: what is pending there is answered."""
+        """Answers the call setups pending on a connection that the softswitch is closing."""
         for call in list(connection.pending_calls):
             self.switch.fail_call(call, self)
 
     def abandon_calls_of(self, connection: SipConnection) -> None:
-        """The connection is over: its caller waits no longer."""
+        """Abandons the call setups pending on a connection that has ended."""
         for call in list(connection.pending_calls):
             self.pending.pop(call, None)
             self.switch.abandon_call(call, self)
         connection.pending_calls.clear()
 
     def fail_overdue(self, now: float) -> None:
-        """During a drain call setups have to go, answered or not."""
+        """Fails the call setups that the lifecycle considers overdue during a drain."""
         for call_id in list(self.pending):
             call = self.switch.calls.get(call_id)
             if call and self.switch.lifecycle.setup_is_overdue(now, call.received_at):
                 self.switch.fail_call(call_id, self)
 
-    # as a `core.call.Caller`
+    # core.call.Caller
 
     def call_established(self, call: str, description: bytes) -> None:
-        """The call is established: its caller is answered."""
+        """Answers the caller of a call that is now established."""
         pending = self.pending.get(call)
         if pending:
             connection = pending.connection
             self.established[call] = EstablishedCall(connection, pending.number)
             connection.penalty = 0.0
             connection.had_established_call = True
-            if connection.closing_since is None:
+            if connection.closing_started_at is None:
                 self.releases.queue.call_established(connection)
         self._answer(call, 200, description)
 
     def call_failed(self, call: str, reason: FailureReason, retry_after: float) -> None:
-        """The call is not established: its caller is answered."""
+        """Answers the caller of a call that could not be established."""
         self._answer(call, ANSWER_CODES[reason], b"", retry_after)
 
     def call_released(self, call: str, cause: int) -> None:
-        """An established call has ended, here or under the predecessor."""
-        known = self.established.pop(call, None)
-        if known is None:
+        """Notifies the caller that an established call, of this process or the predecessor, has ended."""
+        established = self.established.pop(call, None)
+        if established is None:
             self.releases.release(call, UNKNOWN_NUMBER, cause, None)
         else:
-            self.releases.release(call, known.number, cause, known.connection)
+            self.releases.release(call, established.number, cause, established.connection)
 
     def _answer(self, call: str, code: int, body: bytes = b"", retry_after: float = 0.0) -> None:
         pending = self.pending.pop(call, None)
@@ -243,6 +247,6 @@
         self.switch.counters[CountFamily.SIP_ANSWERS + str(code)] += 1
         if self.switch.history:
             self.switch.history.note(call, f"answered {code}", connection.name)
-        if connection.closing_since is None:
-            self.keeper.update_idle(connection)
+        if connection.closing_started_at is None:
+            self.idle_tracker.update_idle(connection)
         connection.answer(code, pending.message, body, retry_after)
--- a/softswitch/net/sip_connection.py
+++ b/softswitch/net/sip_connection.py
@@ -1,4 +1,4 @@
-"""One connection from a caller: bytes in pieces become SIP messages, and answers go out."""
+"""One SIP connection from a caller: assembles received bytes into messages and writes responses."""
 
 from __future__ import annotations
 
@@ -12,69 +12,70 @@
     SipMessage,
     SipParseError,
     SipRequest,
-    encode_answer,
+    encode_response,
     parse_request,
 )
 from softswitch.net.twisted_internals import has_unwritten_bytes, read_now
 
 LINE_END = b"\r\n"
 LINE_END_SIZE = len(LINE_END)
-MAX_PENALTY = 16.0  # unusable messages, or four times as many of no class, with no established call between
-TURN_BUDGET = (
-    40.0  # ms that callers may take of one turn of the loop, so that engines and operators are heard too
-)
-READ_SIZE = 16_384  # bytes read at once
-MAX_UNREAD_TIME = 500.0  # ms that what lies behind a full read has waited at most
-MAX_READS_AHEAD = 8  # pieces that are read behind a stale one
-STALE_AFTER = (
-    100.0  # ms unread after which a caller may have left: nothing is sent before all it said is read
-)
+# Penalty points since the last established call at which a connection is closed: 16 unusable messages, or 64
+# call setups of an unknown class.
+MAX_PENALTY = 16.0
+# Ms of one turn of the event loop in which callers are served; the rest is left for engines and operators.
+TURN_BUDGET = 40.0
+READ_SIZE = 16_384  # max bytes of one read
+MAX_UNREAD_TIME = 500.0  # max ms that data behind a full read is assumed to have waited
+MAX_READS_AHEAD = 8  # further reads after a stale one
+# Ms that data waited unread after which its caller may have given up in the meantime: call setups in it are
+# routed only after the rest of what the caller sent has been read.
+STALE_AFTER = 100.0
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the server that it belongs to."""
+    """The server that owns a connection, as the connection uses it."""
 
     wheel: TimerWheel
 
     def connection_opened(self, connection: SipConnection) -> None:
-        """The connection is up."""
+        """Called when the connection is established."""
 
     def connection_lost(self, connection: SipConnection) -> None:
-        """The connection is over."""
+        """Called when the connection has ended."""
 
     def is_open(self, connection: SipConnection) -> bool:
-        """Whether the connection is up."""
+        """Whether the connection is still established."""
 
-    def data_of_newcomer(self, connection: SipConnection) -> None:
-        """A piece of a connection's first message came."""
+    def first_message_data(self, connection: SipConnection) -> None:
+        """Called when data of a connection's first message is received."""
 
     def is_deferred(self, connection: SipConnection) -> bool:
-        """Whether the rest of what came waits for a later turn."""
+        """Whether the remaining received data waits for a later turn of the event loop."""
 
     def defer(self, connection: SipConnection) -> None:
-        """Callers had their part of this turn: the rest of what came here is read in a later one."""
+        """Postpones the remaining data to a later turn: the callers' budget of this turn is used up."""
 
     def backpressure_changed(self, connection: SipConnection, backpressured: bool) -> None:
-        """The caller stopped reading its answers, or reads again."""
+        """Called when the caller stops reading its responses, or resumes."""
 
     def request_received(self, connection: SipConnection, request: SipRequest) -> None:
-        """A request is complete."""
+        """Called for each complete request."""
 
     def response_received(self, connection: SipConnection, message: SipMessage) -> None:
-        """An answer to a request of ours is complete."""
+        """Called for each complete response to a request that the softswitch sent."""
 
     def route_calls(self, calls: list[str]) -> None:
-        """Calls that were accepted may be decided on: their caller has been read."""
+        """Routes accepted calls, after the data from their caller has been read."""
 
     def message_unreadable(self, connection: SipConnection, error: SipParseError) -> None:
-        """Where the next message begins is not known."""
+        """Called when a message cannot be parsed, which leaves the start of the next one unknown."""
 
     def connection_misused(self, connection: SipConnection) -> None:
-        """The caller sent too much that can't be used."""
+        """Called when the caller has sent too many unusable messages."""
 
 
 class SipConnection(LineReceiver):
-    """One connection from a caller."""
+    """One SIP connection from a caller."""
 
     MAX_LENGTH = MAX_MESSAGE
     delimiter = LINE_END
@@ -84,41 +85,39 @@
         self.wheel = owner.wheel
         self.name = ""
         self.opened_at = self.wheel.now
-        self.closing_since: float | None = None  # when we began to close it
-        self.backpressured_at: float | None = None  # since when its caller leaves answers unread
-        self.caller_active_at: float | None = (
-            None  # when it last sent what only callers send, not just a probe
-        )
-        self.is_newcomer = True  # nothing was answered here, or is owed an answer
+        self.closing_started_at: float | None = None  # when the softswitch began to close it
+        self.backpressured_at: float | None = None  # when its caller stopped reading
+        # When it last received a request that only callers send, so not a health check.
+        self.caller_active_at: float | None = None
+        self.is_new = True  # no request was answered, and no call setup accepted, here yet
         self.had_established_call = False
-        self.pending_calls: set[str] = set()  # call setups accepted here that are owed an answer
+        self.pending_calls: set[str] = set()  # call setups accepted here and not answered yet
         self.penalty = 0.0
-        # What is being read: when it arrived at the earliest, and when this was last read, or could be again.
-        self.received_at = self.wheel.now
-        self.last_read_at = self.wheel.now
-        self.read_count = 0  # pieces that came
-        self.more_unread = False  # more may have waited behind the last read
+        self.received_at = self.wheel.now  # the earliest time at which the current data can have arrived
+        self.last_read_at = self.wheel.now  # time of the last read, or of the last resumption of reading
+        self.read_count = 0  # reads that returned data
+        self.more_unread = False  # more data may have been waiting behind the last read
         self.reading_ahead = False
-        self.unrouted_calls: list[str] = []  # call setups that were read: nothing was decided on them yet
+        self.unrouted_calls: list[str] = []  # call setups accepted but not routed yet
         self._start_message()
 
     def _start_message(self) -> None:
         self.message = SipMessage()
-        self.message_started_at: float | None = None  # since when a message is not complete
+        self.message_started_at: float | None = None  # None between messages
         self.body_length = 0
-        self.body_parts: list[bytes] = []
+        self.body_chunks: list[bytes] = []
 
     @property
     def is_closing(self) -> bool:
-        """Whether our side is closed."""
-        return self.closing_since is not None
+        """Whether the softswitch has begun to close the connection."""
+        return self.closing_started_at is not None
 
     @property
     def has_unwritten_bytes(self) -> bool:
-        """Whether some of what was written here has not left the process."""
+        """Whether written bytes have not left the process yet."""
         return has_unwritten_bytes(self.transport)
 
-    # Twisted's protocol
+    # Twisted's protocol callbacks
 
     def connectionMade(self) -> None:
         """Called by Twisted."""
@@ -132,25 +131,26 @@
         self.owner.connection_lost(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Called by Twisted, and with nothing when reading goes on."""
-        if self.closing_since is not None:
-            return  # read, so that our close is no reset, which would take what we wrote last
+        """Called by Twisted, and with no data when a deferred connection resumes."""
+        if self.closing_started_at is not None:
+            # Data is still read: closing with unread data sends a reset, which discards the last writes.
+            return
         if data:
-            self._note_read(len(data))
-        if self.is_newcomer:
-            self.owner.data_of_newcomer(self)
+            self._record_read(len(data))
+        if self.is_new:
+            self.owner.first_message_data(self)
         super().dataReceived(data)
         if self.reading_ahead:
-            return  # `_read_ahead` goes on
+            return  # called from `_read_ahead`, which continues
         if self.unrouted_calls and self.wheel.now - self.received_at > STALE_AFTER:
             self._read_ahead()
             if self.owner.is_deferred(self):
-                return  # decided once that was read
+                return  # the calls are routed once the deferred data is processed
         self._route_calls()
 
-    def _note_read(self, size: int) -> None:
+    def _record_read(self, size: int) -> None:
         now, lag = self.wheel.now, self.wheel.lag
-        # else it came only now
+        # Whether the data may have waited behind the last full read; else it arrived within the loop's lag.
         waited_behind = self.more_unread and now - self.last_read_at <= lag + TURN_BUDGET
         self.received_at = max(self.received_at, now - MAX_UNREAD_TIME) if waited_behind else now - lag
         self.more_unread = size >= READ_SIZE
@@ -158,7 +158,7 @@
         self.read_count += 1
 
     def _read_ahead(self) -> None:
-        """What came was long unread: what its caller sent since, such as a CANCEL, may lie behind."""
+        """Reads on after stale data: the caller may have sent more since, such as a CANCEL."""
         self.reading_ahead = True
         for _ in range(MAX_READS_AHEAD):
             if self.owner.is_deferred(self) or self.read_pending():
@@ -171,7 +171,10 @@
             self.owner.route_calls(calls)
 
     def read_pending(self) -> bool:
-        """Reads what lies unread here; false: something did, or does, or this connection is over."""
+        """Reads waiting data. True: there was none.
+
+        False: data was read or is deferred, or the connection has ended.
+        """
         if self.owner.is_deferred(self):
             return False
         reads = self.read_count
@@ -180,23 +183,23 @@
         return self.read_count == reads
 
     def resume_deferred(self) -> None:
-        """Goes on with what was deferred."""
+        """Resumes processing of the deferred data."""
         self.last_read_at = self.wheel.now
         if self.backpressured_at is None and not self.is_closing and self.owner.is_open(self):
             super().resumeProducing()
         else:
             self._route_calls()
 
-    # A producer's three calls. A caller that doesn't read its answers isn't read from either.
+    # Twisted's producer callbacks. A connection whose caller does not read responses is not read from either.
 
     def pauseProducing(self) -> None:
-        """Called by Twisted: the caller does not read."""
+        """Called by Twisted when the caller does not read its responses."""
         self.backpressured_at = self.wheel.now
         self.owner.backpressure_changed(self, True)
         super().pauseProducing()
 
     def resumeProducing(self) -> None:
-        """Called by Twisted: the caller reads again."""
+        """Called by Twisted when the caller reads again."""
         self.backpressured_at = None
         self.owner.backpressure_changed(self, False)
         if not self.owner.is_deferred(self):
@@ -212,15 +215,15 @@
         self.owner.message_unreadable(self, SipParseError("a line without end"))
 
     def lineReceived(self, line: bytes) -> None:
-        """Called by Twisted: a line of a message's head."""
-        if self.closing_since is not None:
+        """Called by Twisted for each line of a message's head."""
+        if self.closing_started_at is not None:
             return
         message = self.message
         message.size += len(line) + LINE_END_SIZE
         text = line.decode("latin-1")
         try:
             if message.size > MAX_MESSAGE:
-                self._too_long()
+                self._raise_too_long()
             elif not message.start_line:
                 self._add_start_line(text.strip())
             elif text:
@@ -231,11 +234,11 @@
             self.owner.message_unreadable(self, e)
 
     @staticmethod
-    def _too_long() -> None:
-        raise SipParseError("longer than 16 KiB", 513)
+    def _raise_too_long() -> None:
+        raise SipParseError("message longer than 16 KiB", 513)
 
     def _add_start_line(self, text: str) -> None:
-        """Empty lines between messages are skipped, however many."""
+        """Sets the start line. Any number of empty lines between messages is skipped."""
         if text:
             self.message.start_line = text
             self.message_started_at = self.wheel.now
@@ -250,19 +253,19 @@
             self._message_complete(b"")
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Called by Twisted: a piece of a message's body, and of what follows it."""
-        if self.closing_since is not None:
+        """Called by Twisted with data of a body, which may include the start of the next message."""
+        if self.closing_started_at is not None:
             return
-        self.body_parts.append(data)
-        if sum(map(len, self.body_parts)) < self.body_length:
+        self.body_chunks.append(data)
+        if sum(map(len, self.body_chunks)) < self.body_length:
             return
-        received = b"".join(self.body_parts)
+        received = b"".join(self.body_chunks)
         body, rest = received[: self.body_length], received[self.body_length :]
         try:
             self._message_complete(body)
         except SipParseError as e:
             self.owner.message_unreadable(self, e)
-        if self.closing_since is None:
+        if self.closing_started_at is None:
             self.setLineMode()
             super().dataReceived(rest)
 
@@ -273,24 +276,25 @@
             self.owner.response_received(self, message)
             return
         self.owner.request_received(self, parse_request(message, body))
-        if self.closing_since is None and self.wheel.elapsed_since_read() > TURN_BUDGET:
-            self.more_unread = True  # what arrives meanwhile waits unread
+        if self.closing_started_at is None and self.wheel.elapsed_since_read() > TURN_BUDGET:
+            self.more_unread = True  # data that arrives while deferred waits unread
             self.owner.defer(self)
             super().pauseProducing()
 
     def answer(self, code: int, request: SipMessage, body: bytes = b"", retry_after: float = 0.0) -> None:
-        """Answers a request."""
-        self.transport.write(encode_answer(code, request, body, retry_after))
+        """Writes the response to a request."""
+        self.transport.write(encode_response(code, request, body, retry_after))
 
     def write(self, data: bytes) -> None:
         """Writes a complete message."""
         self.transport.write(data)
 
     def penalize(self, weight: float = 1.0) -> None:
-        """Guards against a caller that sends the same nonsense again as soon as it is rejected.
+        """Adds penalty points and reports misuse at MAX_PENALTY.
 
-        Only what no good caller sends counts: closing loses call setups that are on their way, and
-        rejections, crossing CANCELs and BYEs are ordinary.
+        Guards against a caller that repeats an invalid message as soon as it is rejected. Only messages that
+        no correct caller sends count, because closing the connection loses call setups in transit.
+        Rejections and crossing CANCELs and BYEs are ordinary and do not count.
         """
         self.penalty += weight
         if self.penalty >= MAX_PENALTY and not self.is_closing:
--- a/softswitch/net/sip_connection_table.py
+++ b/softswitch/net/sip_connection_table.py
@@ -1,4 +1,4 @@
-"""The callers' connections of a SIP listener, by what they do, and the bounds on them."""
+"""The connections of a SIP listener by state, with the limits on their number and inactivity."""
 
 from __future__ import annotations
 
@@ -6,32 +6,37 @@
 
 from softswitch.net.sip_connection import SipConnection
 
-NEWCOMER_GRACE = 300.0  # ms in which a newcomer is not the first to go when descriptors are short
-FIRST_BYTE_TIMEOUT = 2_000.0  # ms from connecting to the first byte
-# Ms from connecting in which a first message may pause; as long as pieces of it come, it has MESSAGE_TIMEOUT.
+SILENT_MIN_AGE = 300.0  # ms after connecting in which a silent connection is not the first to be shed
+FIRST_BYTE_TIMEOUT = 2_000.0  # ms from connecting to the first received byte
+# Ms from connecting after which an incomplete first message times out, if no data has come for PIECE_TIMEOUT.
+# While data keeps coming, MESSAGE_TIMEOUT applies.
 FIRST_MESSAGE_TIMEOUT = 2_400.0
 PIECE_TIMEOUT = 1_000.0
-MESSAGE_TIMEOUT = 5_000.0  # ms that one message may take
-IDLE_TIMEOUT = (
-    6_000.0  # ms that a connection with no pending call is kept; callers themselves close after 4 s
-)
-IDLE_SHARE_KEPT = 0.25  # share of the connections up to which idle ones stay all the same: releases need one
+MESSAGE_TIMEOUT = 5_000.0  # max ms from the first to the last byte of a message
+# Ms after which a connection with no pending call may be closed; callers close theirs after 4 s.
+IDLE_TIMEOUT = 6_000.0
+# Idle connections are retained up to this fraction of the maximum: releases need a connection to go out on.
+IDLE_FRACTION_RETAINED = 0.25
 
-Since = dict[SipConnection, float]  # connections, the longest there first, with the time since when
+ConnectionTimes = dict[SipConnection, float]  # when each connection entered the state; the oldest first
 
 
 class ConnectionTable:
-    """Owner of the connections. Each with no pending call is in one of the four `Since`."""
+    """Owner of the connections.
+
+    Each open connection with no pending call is in one of the four `ConnectionTimes`.
+    """
 
     def __init__(self, max_connections: int) -> None:
         self.max_connections = max_connections
         self.all: dict[SipConnection, None] = {}
-        self.silent: Since = {}  # nothing came there yet
-        self.in_first_message: Since = {}  # a first message comes; with when its last piece came
-        self.idle: Since = {}  # no call was ever established there
-        self.idle_callers: Since = {}  # a call was established there
-        self.deferred: dict[SipConnection, None] = {}  # those with more to read, in turn
-        self.closing: dict[SipConnection, None] = {}  # our side is closed, theirs not yet; oldest first
+        self.silent: ConnectionTimes = {}  # nothing was received yet
+        self.in_first_message: ConnectionTimes = {}  # the first message is arriving; time of its last data
+        self.idle: ConnectionTimes = {}  # no pending call, and none was ever established
+        self.idle_callers: ConnectionTimes = {}  # no pending call, but one was established before
+        self.deferred: dict[SipConnection, None] = {}  # with data to process in a later turn; in order
+        # Closed by the softswitch, not yet by the caller; the oldest first.
+        self.closing: dict[SipConnection, None] = {}
 
     def __len__(self) -> int:
         return len(self.all)
@@ -44,55 +49,58 @@
 
     @property
     def full(self) -> bool:
-        """Whether one more would be too many."""
+        """Whether the maximum number of connections is reached."""
         return len(self.all) >= self.max_connections
 
     def add(self, now: float, connection: SipConnection) -> None:
-        """The connection is up."""
+        """Adds a new connection."""
         self.all[connection] = None
         self.silent[connection] = now
 
     def remove(self, connection: SipConnection) -> None:
-        """The connection is over."""
+        """Removes a connection that has ended."""
         self.all.pop(connection, None)
         self.closing.pop(connection, None)
         self.deferred.pop(connection, None)
-        self.unlist(connection)
+        self.untrack(connection)
 
-    def unlist(self, connection: SipConnection) -> None:
-        """It has a pending call, or is closing."""
+    def untrack(self, connection: SipConnection) -> None:
+        """Removes a connection from all `ConnectionTimes`: it has a pending call, or is closing."""
         for connections in (self.silent, self.in_first_message, self.idle, self.idle_callers):
             connections.pop(connection, None)
 
-    def first_message_piece(self, now: float, connection: SipConnection) -> None:
-        """A piece of its first message came."""
+    def first_message_data(self, now: float, connection: SipConnection) -> None:
+        """Records that data of the connection's first message was received."""
         self.silent.pop(connection, None)
         self.in_first_message.pop(connection, None)
         if connection in self.all and not connection.is_closing:
             self.in_first_message[connection] = now
 
     def mark_idle(self, now: float, connection: SipConnection) -> None:
-        """It has no pending call."""
+        """Records that the connection has no pending call."""
         connections = self.idle_callers if connection.had_established_call else self.idle
         connections[connection] = now
 
     def start_closing(self, connection: SipConnection, lingering: bool) -> None:
-        """Our side closes. `lingering`: theirs is read to its end."""
-        self.unlist(connection)
+        """Records that the softswitch closes the connection.
+
+        `lingering`: it is read until the caller closes too.
+        """
+        self.untrack(connection)
         self.deferred.pop(connection, None)
         if lingering:
             self.closing[connection] = None
 
     def next_to_shed(self, now: float) -> SipConnection | None:
-        """Guards the descriptors, and good callers from a crowd.
+        """Returns the connection to close first when descriptors run short, so that real callers keep theirs.
 
-        Those who connect and send nothing go first, then those whose first message has stopped coming, then
-        those who asked something and stayed, the longest there. A newcomer has a moment to send what it
-        wants; callers of calls go last.
+        The order is: silent connections, connections whose first message has stalled, then idle connections,
+        each time the oldest first. A new connection has SILENT_MIN_AGE to send its first request. Connections
+        on which calls were established go last.
         """
-        for connections, grace in ((self.silent, NEWCOMER_GRACE), (self.in_first_message, PIECE_TIMEOUT)):
+        for connections, min_age in ((self.silent, SILENT_MIN_AGE), (self.in_first_message, PIECE_TIMEOUT)):
             first = next(iter(connections), None)
-            if first is not None and now - connections[first] > grace:
+            if first is not None and now - connections[first] > min_age:
                 return first
         for connections in (self.idle, self.silent, self.in_first_message, self.idle_callers):
             if connections:
@@ -100,26 +108,29 @@
         return None
 
     def silent_too_long(self, now: float) -> SipConnection | None:
-        """One that sent nothing in time."""
+        """Returns a connection that has sent nothing within FIRST_BYTE_TIMEOUT."""
         return _first_older(self.silent, now, FIRST_BYTE_TIMEOUT, 0.0)
 
     def idle_too_long(self, now: float) -> SipConnection | None:
-        """One that is idle while many are; those of callers last."""
-        kept = IDLE_SHARE_KEPT * self.max_connections
-        first = _first_older(self.idle, now, IDLE_TIMEOUT, kept)
-        return first or _first_older(self.idle_callers, now, IDLE_TIMEOUT, kept)
+        """Returns a connection to close as idle, if more are idle than are retained.
+
+        Connections on which calls were established come last.
+        """
+        retained = IDLE_FRACTION_RETAINED * self.max_connections
+        first = _first_older(self.idle, now, IDLE_TIMEOUT, retained)
+        return first or _first_older(self.idle_callers, now, IDLE_TIMEOUT, retained)
 
     def stalled_first_messages(self, now: float) -> list[SipConnection]:
-        """Those whose first message does not come to its end."""
+        """Returns the connections whose first message is not completed in time."""
         return [
             connection
-            for connection, last_piece in self.in_first_message.items()
+            for connection, last_data_at in self.in_first_message.items()
             if now - connection.opened_at
-            > (FIRST_MESSAGE_TIMEOUT if now - last_piece > PIECE_TIMEOUT else MESSAGE_TIMEOUT)
+            > (FIRST_MESSAGE_TIMEOUT if now - last_data_at > PIECE_TIMEOUT else MESSAGE_TIMEOUT)
         ]
 
     def other_active(self, connection: SipConnection) -> bool:
-        """Whether another connection may carry releases."""
+        """Whether releases can go out on another connection."""
         return any(
             other.caller_active_at is not None and not other.is_closing
             for other in self.all
@@ -127,8 +138,10 @@
         )
 
 
-def _first_older(connections: Since, now: float, timeout: float, kept: float) -> SipConnection | None:
-    if len(connections) <= kept:
+def _first_older(
+    connections: ConnectionTimes, now: float, timeout: float, retained: float
+) -> SipConnection | None:
+    if len(connections) <= retained:
         return None
-    first, since = next(iter(connections.items()))
-    return first if now - since > timeout else None
+    first, entered_at = next(iter(connections.items()))
+    return first if now - entered_at > timeout else None
--- a/softswitch/net/sip_server.py
+++ b/softswitch/net/sip_server.py
@@ -1,4 +1,4 @@
-"""The SIP listener: takes callers' connections in, and closes them without losing a call."""
+"""The SIP listener: accepts callers' connections and closes them without losing a call."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from softswitch.net.sip_connection import TURN_BUDGET, SipConnection
 from softswitch.net.sip_connection_table import MESSAGE_TIMEOUT, ConnectionTable
 
-ACCEPTS_PER_TURN = 8  # connections taken in at once, and 20 more at the most
-MAX_SHED_TRIES = 8  # connections that are looked at for one that can go
-SWEEP_INTERVAL = 250.0  # ms between two looks at the connections
-CLOSE_TIMEOUT = 1_000.0  # ms that a close may take
-UNREAD_TIMEOUT = 5_000.0  # ms that a caller may leave its answers unread
+ACCEPTS_PER_TURN = 8  # connections accepted in one turn of the event loop, and 20 more at most
+MAX_SHED_TRIES = 8  # connections examined to find one that can be shed
+SWEEP_INTERVAL = 250.0  # ms between two checks of the connections
+CLOSE_TIMEOUT = 1_000.0  # ms from the start of a close to an abort
+UNREAD_TIMEOUT = 5_000.0  # ms that a caller may leave its responses unread
 
 
 class SipServer(Factory):
-    """All callers' connections, and when they close. Fulfils `sip_connection.ConnectionOwner`."""
+    """Owner of all callers' connections. Implements `sip_connection.ConnectionOwner`."""
 
     noisy = False
 
@@ -33,41 +33,42 @@
         self.name = name
         self.switch = switch
         self.wheel = switch.wheel
-        self.port: Any = None  # where they connect; a Twisted port
+        self.port: Any = None  # the Twisted port on which callers connect
         self.connections = ConnectionTable(max_connections)
         self.releases = ReleaseSender(name, switch)
         self.calls = SipCalls(switch, self.releases, self)
-        self._opened = 0  # connections so far
+        self._opened_count = 0  # connections since the start
         switch.on_predecessor_release = self.calls.call_released
         switch.lifecycle.on_change.append(self._phase_changed)
         self.wheel.call_after(SWEEP_INTERVAL, self._sweep)
 
-    # connections come
+    # opening
 
     def attach(self, port: Any) -> None:
-        """The Twisted port where callers connect. At its first turn too it takes in no more than at others.
+        """Sets the Twisted port on which callers connect, and limits how many it accepts in its first turn.
 
-        Twisted's first turn takes 100: those waiting as a listener is handed over would exceed the
-        descriptors, as connections that are closed to make room hold theirs until the end of the turn.
+        By default Twisted accepts 100 in the first turn. The connections that wait when a listener is handed
+        over would then exceed the descriptors, because a connection that is shed holds its descriptor until
+        the end of the turn.
         """
         self.port = port
         port.numberAccepts = ACCEPTS_PER_TURN
 
     def buildProtocol(self, addr: object) -> SipConnection | None:
-        """Called by Twisted as a caller connects."""
+        """Called by Twisted when a caller connects."""
         if self.port is not None:
-            # Else a flood is taken in whole before any of it can be closed.
+            # Without this limit a flood is accepted completely before any of it can be closed.
             self.port.numberAccepts = ACCEPTS_PER_TURN
-        if self.connections.full and not self._make_room():
+        if self.connections.full and not self._shed_one():
             self.switch.counters[Count.CONNECTIONS_REFUSED] += 1
             return None
         return SipConnection(self)
 
-    def _make_room(self) -> bool:
-        """Ends a connection at once: one that is closing, else an idle one, once what lies unread there was
-        read.
+    def _shed_one(self) -> bool:
+        """Closes one connection to free its descriptor; False if none can go.
 
-        A call setup may have arrived there long before we get to look.
+        A connection that is closing is aborted. Otherwise `next_to_shed` selects one, and its unread data is
+        processed first: a call setup may be waiting there.
         """
         for connection in self.connections.closing:
             del self.connections.closing[connection]
@@ -85,16 +86,16 @@
         return False
 
     def connection_opened(self, connection: SipConnection) -> None:
-        """The connection is up."""
-        self._opened += 1
-        connection.name = f"c{self._opened}"
+        """Registers a new connection."""
+        self._opened_count += 1
+        connection.name = f"c{self._opened_count}"
         self.connections.add(self.wheel.now, connection)
         if self.switch.history:
             self.switch.history.note(CONNECTIONS, "caller's connection", connection.name)
         self.switch.counters[Count.CALLER_CONNECTIONS] += 1
 
     def connection_lost(self, connection: SipConnection) -> None:
-        """The connection is over."""
+        """Removes an ended connection and abandons the calls pending on it."""
         self.connections.remove(connection)
         if self.switch.history:
             self.switch.history.note(CONNECTIONS, "caller's connection over", connection.name)
@@ -102,30 +103,33 @@
         self.calls.abandon_calls_of(connection)
 
     def is_open(self, connection: SipConnection) -> bool:
-        """Whether the connection is up."""
+        """Whether the connection is still established."""
         return connection in self.connections
 
-    # what comes on them
+    # received data
 
-    def data_of_newcomer(self, connection: SipConnection) -> None:
-        """A piece of a connection's first message came."""
-        self.connections.first_message_piece(self.wheel.now, connection)
+    def first_message_data(self, connection: SipConnection) -> None:
+        """Records that data of a connection's first message was received."""
+        self.connections.first_message_data(self.wheel.now, connection)
 
     def request_received(self, connection: SipConnection, request: SipRequest) -> None:
-        """A request is complete."""
+        """Carries out a complete request."""
         self.calls.handle(connection, request)
 
     def response_received(self, connection: SipConnection, message: SipMessage) -> None:
-        """An answer to a release of ours is complete."""
+        """Processes the response to a BYE that the softswitch sent."""
         self.calls.handle_response(connection, message)
 
     def route_calls(self, calls: list[str]) -> None:
-        """Calls that were accepted may be decided on."""
+        """Routes accepted calls."""
         for call in calls:
             self.switch.route_call(call)
 
     def message_unreadable(self, connection: SipConnection, error: SipParseError) -> None:
-        """Where the next message begins is not known: the caller is told so, and nothing more is read."""
+        """Answers a message that cannot be parsed, and closes the connection.
+
+        The start of the next message is unknown.
+        """
         self.switch.counters[Count.BAD_MESSAGES] += 1
         logger.warning("caller: bad message, connection closed: {}", error)
         message = connection.message
@@ -134,22 +138,22 @@
         self.close(connection)
 
     def connection_misused(self, connection: SipConnection) -> None:
-        """The caller sent too much that can't be used."""
+        """Closes a connection whose caller has sent too many unusable messages."""
         self.switch.counters[Count.CONNECTIONS_MISUSED] += 1
         self.close(connection)
 
     def backpressure_changed(self, connection: SipConnection, backpressured: bool) -> None:
-        """The caller stopped reading its answers, or reads again."""
+        """Records whether the caller reads its responses; releases avoid connections that are not read."""
         self.releases.queue.set_backpressured(connection, backpressured)
 
-    # reading in turns
+    # deferred reading
 
     def is_deferred(self, connection: SipConnection) -> bool:
-        """Whether the rest of what came there waits for a later turn."""
+        """Whether the connection's remaining data waits for a later turn of the event loop."""
         return connection in self.connections.deferred
 
     def defer(self, connection: SipConnection) -> None:
-        """Callers had their part of this turn: the rest of what came there is read in a later one."""
+        """Postpones the connection's remaining data to a later turn: this turn's budget is used up."""
         if not self.connections.deferred:
             self.wheel.call_at(self.wheel.now, self._resume_deferred)
         self.connections.deferred[connection] = None
@@ -164,14 +168,12 @@
             self.wheel.call_at(self.wheel.now, self._resume_deferred)
         self.connections.deferred = waiting | self.connections.deferred
 
-    # connections fall idle
+    # idle connections
 
     def update_idle(self, connection: SipConnection) -> None:
-        """The connection was answered, or is owed an answer: no newcomer. Idle, if no call is pending
-        there.
-        """
-        connection.is_newcomer = False
-        self.connections.unlist(connection)
+        """Called when a request was answered, or the pending calls changed: idle if no call is pending."""
+        connection.is_new = False
+        self.connections.untrack(connection)
         if connection.pending_calls or connection not in self.connections:
             return
         self.connections.mark_idle(self.wheel.now, connection)
@@ -179,58 +181,58 @@
             self._close_idle_soon(connection)
 
     def _close_idle_soon(self, connection: SipConnection) -> None:
-        """Closes it unless something comes before the next tick but one: what lies unread is read first."""
+        """Closes a connection after two ticks unless it is used by then; unread data is processed first."""
         self.wheel.call_after(2 * self.switch.settings.tick, self._close_if_idle, connection)
 
     def _close_if_idle(self, connection: SipConnection) -> None:
         if connection not in self.connections or connection.is_closing:
             return
         connection.read_pending()
-        if self._is_used(connection):
+        if self._is_in_use(connection):
             return
         lifecycle = self.switch.lifecycle
         if not lifecycle.closes_idle_connections:
             return
-        if lifecycle.keeps_last_connection(self.wheel.now) and self._carries_last_releases(connection):
+        if lifecycle.keeps_last_connection(self.wheel.now) and self._is_last_release_path(connection):
             return
         self.switch.counters[Count.CONNECTIONS_DRAINED] += 1
         self.close(connection)
 
-    def _is_used(self, connection: SipConnection) -> bool:
+    def _is_in_use(self, connection: SipConnection) -> bool:
         if connection not in self.connections or connection.pending_calls:
             return True
         return connection.message_started_at is not None or self.is_deferred(connection)
 
-    def _carries_last_releases(self, connection: SipConnection) -> bool:
-        """Whether it is the only one left to carry releases of established calls."""
+    def _is_last_release_path(self, connection: SipConnection) -> bool:
+        """Whether releases of established calls can go out on this connection alone."""
         if connection.caller_active_at is None or not self.calls.established:
             return False
         return not self.connections.other_active(connection)
 
     def _close_all_idle(self) -> None:
         now = self.wheel.now
-        silent = [c for c, since in self.connections.silent.items() if now - since > NEWCOMER_TIMEOUT]
+        silent = [c for c, opened_at in self.connections.silent.items() if now - opened_at > NEWCOMER_TIMEOUT]
         for connection in [*silent, *self.connections.idle, *self.connections.idle_callers]:
             self._close_if_idle(connection)
 
     def _phase_changed(self, phase: Phase) -> None:
-        """Where callers are to go, idle connections go at once."""
+        """Starts closing idle connections when the new phase requires it."""
         if self.switch.lifecycle.closes_idle_connections:
             for connection in [*self.connections.idle, *self.connections.idle_callers]:
                 self._close_idle_soon(connection)
             self.wheel.call_after(DRAIN_KEEPS_CONNECTION_FOR, self._close_all_idle)
 
-    # connections go
+    # closing
 
     def close(self, connection: SipConnection, lingering: bool = True) -> None:
-        """Closes a connection. What is still owed an answer there gets one: closing must lose no call.
+        """Closes a connection. Call setups pending there are answered first, so that no call is lost.
 
-        Our side closes first and theirs is read to its end, if `lingering`: unread bytes would make a reset
-        of it.
+        With `lingering`, only the sending side is closed, and the connection is read until the caller closes
+        too: closing it with unread data would send a reset.
         """
         if connection.is_closing:
             return
-        connection.closing_since = self.wheel.now
+        connection.closing_started_at = self.wheel.now
         self.releases.connection_closed(connection)
         self.calls.fail_calls_of(connection)
         self.connections.start_closing(connection, lingering)
@@ -242,7 +244,7 @@
         else:
             connection.transport.loseConnection()
 
-    def _close_as(self, connection: SipConnection, reason: str) -> None:
+    def _close_timed_out(self, connection: SipConnection, reason: str) -> None:
         self.switch.counters[CountFamily.CONNECTIONS_CLOSED + reason] += 1
         if connection.message_started_at is not None and connection.message.start_line:
             connection.answer(408, connection.message)
@@ -256,7 +258,7 @@
             self.calls.fail_overdue(now)
         self._close_inactive(now)
         for connection in self.connections:
-            self._check(now, connection)
+            self._close_if_stuck(now, connection)
 
     def _close_inactive(self, now: float) -> None:
         while connection := self.connections.silent_too_long(now):
@@ -264,25 +266,25 @@
         while connection := self.connections.idle_too_long(now):
             self._close_unless_read(connection, "idle")
         for connection in self.connections.stalled_first_messages(now):
-            self._close_as(connection, "silent")
+            self._close_timed_out(connection, "silent")
 
     def _close_unless_read(self, connection: SipConnection, reason: str) -> None:
-        self.connections.unlist(connection)
+        self.connections.untrack(connection)
         if connection.read_pending():
-            self._close_as(connection, reason)
-        elif self.is_open(connection) and not connection.is_closing and not connection.is_newcomer:
+            self._close_timed_out(connection, reason)
+        elif self.is_open(connection) and not connection.is_closing and not connection.is_new:
             self.update_idle(connection)
 
-    def _check(self, now: float, connection: SipConnection) -> None:
-        """Ends a connection that is stuck: answers unread, a close that hangs, a message without end."""
-        backpressured_at, closing_since = connection.backpressured_at, connection.closing_since
+    def _close_if_stuck(self, now: float, connection: SipConnection) -> None:
+        """Ends a stuck connection: responses are unread, the close hangs, or a message is never completed."""
+        backpressured_at, closing_started_at = connection.backpressured_at, connection.closing_started_at
         if backpressured_at is not None and now - backpressured_at > UNREAD_TIMEOUT:
             unread_for = now - backpressured_at
-            logger.warning("caller: answers unread for {:.0f} ms, connection closed", unread_for)
+            logger.warning("caller: responses unread for {:.0f} ms, connection closed", unread_for)
             connection.transport.abortConnection()
-        elif closing_since is not None:
-            if now - closing_since > CLOSE_TIMEOUT:
-                connection.transport.abortConnection()  # a close waits for what was written to be read
+        elif closing_started_at is not None:
+            if now - closing_started_at > CLOSE_TIMEOUT:
+                connection.transport.abortConnection()  # it still waits for written data to be read
         elif connection.message_started_at is not None:
             if now - connection.message_started_at > MESSAGE_TIMEOUT:
                 self.message_unreadable(connection, SipParseError("not whole in time", 408))
