--- a/softswitch/net/call_control.py
+++ b/softswitch/net/call_control.py
@@ -1,5 +1,6 @@
-"""The call-control API over WebSocket: client programs place, watch and release calls
-(docs/control-api.md).
+"""The call-control API over WebSocket, on which client programs place, watch and release calls.
+
+The API is described in docs/control-api.md.
 """
 
 from __future__ import annotations
@@ -34,35 +35,35 @@
 
 VERSION = 1
 PATH = "/v1/calls"
-MAX_MESSAGE = 24_576  # characters: 16 KiB of description, written in base64
-MAX_UNREAD = 262_144  # bytes that may wait for a client that doesn't read
-MAX_ENDED_CALLS = 2_048  # ended calls whose last event is kept for who watches later
+MAX_MESSAGE = 24_576  # characters: room for a description of 16 KiB in base64
+MAX_UNREAD = 262_144  # max bytes queued for a client that does not read
+MAX_ENDED_CALLS = 2_048  # ended calls whose last event is retained for later watchers
 MAX_CAUSE = 127
 HANDSHAKE_TIMEOUT = 2_000.0  # ms
 PING_INTERVAL = 20_000.0  # ms
 SILENCE_TIMEOUT = 50_000.0  # ms
 SWEEP_INTERVAL = 1_000.0  # ms
-# Codes of a close, as in RFC 6455.
+# Close codes of RFC 6455.
 GOING_AWAY, UNSUPPORTED_DATA, MESSAGE_TOO_BIG = 1001, 1003, 1009
-# Codes of errors: one for each failure of the core, and those of the wire itself.
+# Error codes: one for each failure reason of the core, and those for invalid messages.
 CODES = {reason: reason.value for reason in FailureReason}
 BAD_JSON, BAD_MESSAGE, BAD_VERSION = "bad_json", "bad_message", "bad_version"
 
-Message = dict[str, Any]  # one JSON object of the wire
+Message = dict[str, Any]  # one JSON object, as sent or received
 
 
 @dataclass(slots=True)
 class PlacedCall:
-    """A call of this API, from its setup to its end."""
+    """A call that was placed through this API and has not ended."""
 
     watchers: set[ClientConnection] = field(default_factory=set)
     last_event: Message = field(default_factory=dict)
     established: bool = False
-    unwatched_since: float | None = None  # when its last watcher went
+    unwatched_at: float | None = None  # when its last watcher stopped
 
 
 def read_number(message: Message, name: str, default: float | None = None) -> float:
-    """A number of a message; ValueError if it is none."""
+    """Returns a numeric field of a message; raises ValueError if it is not a number."""
     value = message.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise ValueError(f"{name} is no number")
@@ -70,7 +71,7 @@
 
 
 def read_integer(message: Message, name: str, default: int) -> int:
-    """A whole number of a message; ValueError if it is none."""
+    """Returns an integer field of a message; raises ValueError if it is not an integer."""
     value = read_number(message, name, default)
     if value != int(value):
         raise ValueError(f"{name} is no whole number")
@@ -78,7 +79,7 @@
 
 
 def read_text(message: Message, name: str, default: str | None = None) -> str:
-    """A text of a message; ValueError if it is none."""
+    """Returns a string field of a message; raises ValueError if it is not a string."""
     value = message.get(name, default)
     if not isinstance(value, str):
         raise ValueError(f"{name} is no text")
@@ -86,7 +87,7 @@
 
 
 def read_setup(message: Message) -> SetupRequest:
-    """The call setup that a `place` asks for; ValueError with a plain text if it can't be read."""
+    """Builds the call setup that a `place` requests; raises ValueError with the reason if it is invalid."""
     try:
         description = b64decode(read_text(message, "description_b64", ""), validate=True)
     except binascii.Error:
@@ -105,19 +106,19 @@
 
 
 class ClientConnection(Protocol):
-    """One client."""
+    """The WebSocket connection of one client."""
 
     def __init__(self, server: CallControlServer) -> None:
         self.server = server
         self.websocket = WSConnection(ConnectionType.SERVER)
-        self.is_accepted = False  # the handshake is done
+        self.is_accepted = False  # whether the handshake is complete
         self.is_over = False
         self.opened_at = self.last_data_at = server.switch.wheel.now
-        self.pending: set[str] = set()  # its call setups that wait for their answer
+        self.pending: set[str] = set()  # its call setups that are not answered yet
         self.watched: set[str] = set()
         self._backpressured = False
-        self._unread = 0  # bytes written since the client was last seen to read
-        self._text = ""  # of a message that is not complete
+        self._unread = 0  # bytes written since the client stopped reading
+        self._text = ""  # received part of an incomplete message
 
     def connectionMade(self) -> None:
         """Called by Twisted."""
@@ -129,15 +130,15 @@
         self.is_over = True
         self.server.connection_lost(self)
 
-    # A producer's three calls. A client that doesn't read isn't read from either.
+    # Twisted's producer callbacks. A client that does not read is not read from either.
 
     def pauseProducing(self) -> None:
-        """Called by Twisted."""
+        """Called by Twisted when the client does not read."""
         self._backpressured = True
         self.transport.pauseProducing()
 
     def resumeProducing(self) -> None:
-        """Called by Twisted."""
+        """Called by Twisted when the client reads again."""
         self._backpressured = False
         self._unread = 0
         self.transport.resumeProducing()
@@ -168,18 +169,18 @@
         self.send(message | ({"id": call} if call else {}))
 
     def ping(self) -> None:
-        """Asks for a sign of life."""
+        """Sends a WebSocket ping."""
         self._write(Ping())
 
-    def close(self, code: int, why: str) -> None:
-        """Ends the connection in good order."""
+    def close(self, code: int, reason: str) -> None:
+        """Closes the connection, with a close frame if the handshake is complete."""
         if self.is_over:
             return
         if self.is_accepted:
-            self._write(CloseConnection(code=code, reason=why))
-        self._end()
+            self._write(CloseConnection(code=code, reason=reason))
+        self._disconnect()
 
-    def _end(self) -> None:
+    def _disconnect(self) -> None:
         self.is_over = True
         self.transport.loseConnection()
 
@@ -193,10 +194,10 @@
                     return
                 self._handle(event)
         except RemoteProtocolError as e:
-            logger.warning("control client: not WebSocket, connection closed: {}", e)
+            logger.warning("control client: WebSocket protocol error, connection closed: {}", e)
             if e.event_hint is not None:
                 self._write(e.event_hint)
-            self._end()
+            self._disconnect()
 
     def _handle(self, event: Event) -> None:
         match event:
@@ -210,7 +211,7 @@
                 self._write(event.response())
             case CloseConnection():
                 self._write(event.response())
-                self._end()
+                self._disconnect()
 
     def _text_received(self, event: TextMessage) -> None:
         self._text += event.data
@@ -221,43 +222,44 @@
             self.server.message_received(self, text)
 
     def _handshake(self, request: Request) -> None:
-        status = self._refusal(request)
+        status = self._handshake_error(request)
         if status is None:
             self.is_accepted = True
             self.server.accepted[self] = None
             self._write(AcceptConnection())
         else:
             self._write(RejectConnection(status_code=status))
-            self._end()
+            self._disconnect()
 
-    def _refusal(self, request: Request) -> int | None:
-        """The status of a handshake that is refused."""
+    def _handshake_error(self, request: Request) -> int | None:
+        """Returns the HTTP status with which to reject a handshake; None accepts it."""
         settings = self.server.settings
         origins = [value for name, value in request.extra_headers if name.lower() == b"origin"]
         if request.target.partition("?")[0] != PATH:
             return 404
         if origins and origins[0].decode("latin-1") not in settings.origins:
-            return 403  # a web page of somebody else's in a browser on this machine
+            return 403  # a foreign web page in a browser on this machine
         if len(self.server.accepted) >= settings.most_sockets:
             return 503
         return None
 
 
 class CallControlServer(Factory):
-    """All clients of the call-control API, and their calls. Fulfils `core.call.Caller`."""
+    """Owner of the clients of the call-control API and of their calls. Implements `core.call.Caller`."""
 
     noisy = False
-    calls_survive = False  # a client watches its calls on this process's connections
+    calls_survive = False  # clients watch their calls on connections to this process
 
     def __init__(self, settings: ControlSettings, switch: Switch, max_connections: int = 1_000) -> None:
         self.settings = settings
         self.switch = switch
-        self.max_connections = min(2 * settings.most_sockets, max_connections)  # accepted or not
+        # Includes handshakes in progress.
+        self.max_connections = min(2 * settings.most_sockets, max_connections)
         self.accepted: dict[ClientConnection, None] = {}
-        self.connecting: dict[ClientConnection, None] = {}  # and those accepted since the last sweep
+        self.connecting: dict[ClientConnection, None] = {}  # until the next sweep after the handshake
         self.calls: dict[str, PlacedCall] = {}
-        self.ended: OrderedDict[str, Message] = OrderedDict()  # the last event of ended calls
-        self._requests: dict[str, Callable[[ClientConnection, str, Message], None]] = {
+        self.ended: OrderedDict[str, Message] = OrderedDict()  # last event by call
+        self._handlers: dict[str, Callable[[ClientConnection, str, Message], None]] = {
             "place": self._place,
             "watch": self._watch,
             "release": self._release,
@@ -265,7 +267,7 @@
         switch.wheel.call_after(SWEEP_INTERVAL, self._sweep)
 
     def buildProtocol(self, addr: object) -> ClientConnection | None:
-        """Called by Twisted as a client connects."""
+        """Called by Twisted when a client connects."""
         if (
             len(self.connecting.keys() | self.accepted.keys()) >= self.max_connections
             and not self._shed_one()
@@ -277,7 +279,7 @@
         return connection
 
     def _shed_one(self) -> bool:
-        """Who connects and sends nothing goes first, the longest there."""
+        """Aborts the oldest connection whose handshake is not complete; False if there is none."""
         waiting = (c for c in self.connecting if not c.is_accepted and not c.is_over)
         victim = next(waiting, None)
         if victim is None:
@@ -288,7 +290,7 @@
         return True
 
     def connection_lost(self, connection: ClientConnection) -> None:
-        """Its call setups are abandoned; its established calls go on, for who comes back and watches them."""
+        """Abandons the client's pending call setups. Established calls go on, and may be watched again."""
         self.accepted.pop(connection, None)
         self.connecting.pop(connection, None)
         for call in list(connection.pending):
@@ -296,10 +298,10 @@
         for call in list(connection.watched):
             self._stop_watching(connection, call)
 
-    # requests of clients
+    # client requests
 
     def message_received(self, connection: ClientConnection, text: str) -> None:
-        """A client sent a request."""
+        """Carries out a client's request, or answers it with an error."""
         self.switch.counters[Count.CONTROL_MESSAGES] += 1
         try:
             message = orjson.loads(text)
@@ -309,14 +311,14 @@
         if not isinstance(message, dict) or message.get("v") != VERSION:
             connection.send_error(BAD_VERSION, f'an object with "v":{VERSION} is wanted')
             return
-        what, id_ = message.get("do"), message.get("id")
-        request = self._requests.get(what) if isinstance(what, str) else None
+        verb, id_ = message.get("do"), message.get("id")
+        handler = self._handlers.get(verb) if isinstance(verb, str) else None
         call = id_.lower() if isinstance(id_, str) else None
-        if request is None or call is None:
+        if handler is None or call is None:
             connection.send_error(BAD_MESSAGE, "do is place, watch or release, and id a text", call)
             return
         try:
-            request(connection, call, message)
+            handler(connection, call, message)
         except (ValueError, OverflowError) as e:
             connection.send_error(BAD_MESSAGE, str(e), call)
 
@@ -375,7 +377,7 @@
 
     def _start_watching(self, connection: ClientConnection, call: str, placed: PlacedCall) -> None:
         placed.watchers.add(connection)
-        placed.unwatched_since = None
+        placed.unwatched_at = None
         connection.watched.add(call)
 
     def _stop_watching(self, connection: ClientConnection, call: str) -> None:
@@ -384,10 +386,10 @@
         if placed is not None:
             placed.watchers.discard(connection)
             if not placed.watchers:
-                placed.unwatched_since = self.switch.wheel.now
+                placed.unwatched_at = self.switch.wheel.now
 
     def _notify(self, call: str, event: Message) -> None:
-        """Sends an event to all who watch the call."""
+        """Sends an event to all watchers of a call."""
         placed = self.calls.get(call)
         if placed is None:
             return
@@ -399,7 +401,7 @@
                 connection.pending.discard(call)
 
     def _notify_end(self, call: str, event: Message) -> None:
-        """Sends the last event of a call, and keeps it for who watches later."""
+        """Sends the last event of a call and retains it for later watchers."""
         self._notify(call, event)
         placed = self.calls.pop(call, None)
         if placed is None:
@@ -410,32 +412,32 @@
         if len(self.ended) > MAX_ENDED_CALLS:
             self.ended.popitem(last=False)
 
-    # as a `core.call.Caller`
+    # core.call.Caller
 
     def call_established(self, call: str, description: bytes) -> None:
-        """The call is established."""
+        """Notifies the watchers that the call is established."""
         if call in self.calls:
             self.calls[call].established = True
             encoded = b64encode(description).decode()
             self._notify(call, {"event": "stands", "description_b64": encoded})
 
     def call_failed(self, call: str, reason: FailureReason, retry_after: float) -> None:
-        """The call is not established."""
+        """Notifies the watchers that the call could not be established."""
         event: Message = {"event": "turned_away", "code": CODES[reason]}
         if retry_after > 0:
             event["later_ms"] = round(retry_after)
         self._notify_end(call, event)
 
     def call_released(self, call: str, cause: int) -> None:
-        """An established call has ended."""
+        """Notifies the watchers that an established call has ended."""
         self._notify_end(call, {"event": "released", "cause": cause})
 
     def stop(self) -> None:
-        """The process ends: clients are told so."""
+        """Closes the clients' connections at the end of the process."""
         for connection in list(self.accepted):
             connection.close(GOING_AWAY, "the softswitch stops")
 
-    # time
+    # timers
 
     def _sweep(self) -> None:
         now = self.switch.wheel.now
@@ -447,9 +449,9 @@
                 connection.transport.abortConnection()
         for connection in list(self.accepted):
             self._check_silence(now - connection.last_data_at, connection)
-        keep = 1000.0 * self.settings.keep_s
+        unwatched_timeout = 1000.0 * self.settings.keep_s
         for call, placed in list(self.calls.items()):
-            if placed.unwatched_since is not None and now - placed.unwatched_since > keep:
+            if placed.unwatched_at is not None and now - placed.unwatched_at > unwatched_timeout:
                 self._release_established(call, ReleaseCause.NORMAL)
 
     @staticmethod
--- a/softswitch/net/call_history.py
+++ b/softswitch/net/call_history.py
@@ -1,4 +1,4 @@
-"""The lives of calls on request: `GET /v1/calls/ID` at the management address, and a file at exit."""
+"""Publishes the history of calls: `GET /v1/calls/ID` at the management address, and a file if configured."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from softswitch.core.call import CALL_ID
 from softswitch.core.call_history import CONNECTIONS, CallHistory
 
-AT_ONCE = 500  # lives encoded in one turn of the loop, at the most
+MAX_CALLS_PER_WRITE = 500  # histories encoded in one turn of the event loop, at most
 
 
-class CallBook:
-    """A `components.Component`."""
+class CallHistoryComponent:
+    """Owner of the call history and its file. Implements `components.Component`."""
 
     def __init__(self, table: Any, host: Host) -> None:
         self.table, self.host = table, host
@@ -28,36 +28,39 @@
         self.history = host.switch.history = CallHistory(
             lambda: wheel.now + wheel.elapsed_since_read(), table.keep
         )
-        host.calls["/v1/calls/"] = ComponentCall("GET", self.asked)
+        host.calls["/v1/calls/"] = ComponentCall("GET", self.handle_request)
 
-    def asked(self, rest: str) -> tuple[int, dict[str, Any]]:
-        """Answers `GET /v1/calls/ID`: status and body."""
+    def handle_request(self, rest: str) -> tuple[int, dict[str, Any]]:
+        """Answers `GET /v1/calls/ID`; `rest` is the ID. Returns status and body."""
         call = CONNECTIONS if rest == "links" else rest.lower()
         if call and not CALL_ID.match(call):
             return 400, {"error": "16 hex digits of a call are wanted, or `links`"}
-        told = self.history.report(call, -self.host.offset)
-        gone = {"error": f"not known, or no more: {self.table.keep} calls are kept"}
-        return (200, told) if told else (404, gone)
+        report = self.history.report(call, -self.host.offset)
+        not_found = {"error": f"not known, or no more: {self.table.keep} calls are kept"}
+        return (200, report) if report else (404, not_found)
 
     def start(self) -> None:
-        """Logs what is kept, and begins to write where a file is named."""
-        logger.info("calls: the lives of the last {} are kept", self.table.keep)
+        """Logs how many calls are retained, and starts writing if a file is configured."""
+        logger.info("calls: the history of the last {} calls is retained", self.table.keep)
         if self.path:
             self._tick()
 
     def _tick(self) -> None:
         wheel = self.host.switch.wheel
         wheel.call_at(wheel.now + self.table.every_s * 1000.0, self._tick)
-        if not self.writing and (lines := self._lines(AT_ONCE)):
+        if not self.writing and (lines := self._encode_changed(MAX_CALLS_PER_WRITE)):
             self.writing = True
             self.host.reactor.callInThread(self._write, lines)
 
-    def _lines(self, most: int) -> list[bytes]:
-        told = (self.history.report(call, -self.host.offset) for call in self.history.take_changed(most))
-        return [orjson.dumps(life) for life in told if life]
+    def _encode_changed(self, limit: int) -> list[bytes]:
+        reports = (self.history.report(call, -self.host.offset) for call in self.history.take_changed(limit))
+        return [orjson.dumps(report) for report in reports if report]
 
     def _write(self, lines: list[bytes]) -> None:
-        """In a thread of the reactor's pool, one at a time; the loop waits for no disk."""
+        """Appends lines to the file.
+
+        Runs in the reactor's thread pool, one write at a time: the event loop must not wait for the disk.
+        """
         try:
             with open(self.path, "ab") as file:
                 if file.tell() < self.table.most_mb << 20:
@@ -65,27 +68,30 @@
             self.failing = False
         except OSError as e:
             if not self.failing:
-                logger.warning("calls: lives not written, the softswitch serves on: {}", e)
+                logger.warning("calls: history not written, the softswitch serves on: {}", e)
             self.failing = True
         finally:
             self.writing = False
 
     def reload(self, table: Any, settings: Any) -> str:
-        """Takes no settings. Returns the table's name if a change of it needs a restart."""
+        """Returns the table's name if it has changed: that takes effect at the next start only."""
         return "" if table == self.table else "calls"
 
     def figures(self) -> dict[str, Any]:
-        """Counts of calls kept and dropped."""
+        """Returns the numbers of calls retained and dropped."""
         return {"lives_kept": len(self.history.calls), "lives_dropped": self.history.dropped}
 
     def stop(self) -> None:
-        """Writes what has changed since the last write."""
+        """Writes the histories that have changed since the last write."""
         if self.path:
-            self._write(self._lines(len(self.history.changed)))
+            self._write(self._encode_changed(len(self.history.changed)))
+
 
+def make(table: Any, host: Host) -> CallHistoryComponent:
+    """Makes the component from its table of the operator file.
 
-def make(table: Any, host: Host) -> CallBook:
-    """Makes the component from the operator file's table. ValueError if the file's folder is missing."""
+    Raises ValueError if the folder of the history file does not exist.
+    """
     if table.file and not (Path(host.folder) / table.file).parent.is_dir():
         raise ValueError(f"`file`: no such folder: {(Path(host.folder) / table.file).parent}")
-    return CallBook(table, host)
+    return CallHistoryComponent(table, host)
--- a/softswitch/net/management.py
+++ b/softswitch/net/management.py
@@ -1,6 +1,6 @@
-"""The operators' address: a few calls over HTTP/1.1, parsed by h11, one call to a connection.
+"""The management address for operators: a small HTTP/1.1 API, parsed by h11, one request per connection.
 
-Nothing here decides: the calls ask and notify the lifecycle, and ask the switch for its figures.
+It holds no state of its own: requests read and change the lifecycle, and read the switch's figures.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from softswitch.core.lifecycle import Phase
 from softswitch.core.switch import Switch
 
-MAX_CONNECTIONS = 16  # at once; one more sheds the longest there that has sent no complete request
-MAX_HEAD, MAX_BODY = 8_192, 4_096  # bytes of a request
+MAX_CONNECTIONS = 16  # at once; one more sheds an answered one, or else the oldest
+MAX_HEAD, MAX_BODY = 8_192, 4_096  # bytes of a request's head and body
 REQUEST_TIMEOUT = 3_500.0  # ms from connecting to a complete request
-CLOSE_TIMEOUT = 500.0  # ms that a caller may take to close once it was answered
-SWEEP_INTERVAL = 100.0  # ms between two looks at the connections
-REASONS = {
+CLOSE_TIMEOUT = 500.0  # ms that a client may take to close after the response
+SWEEP_INTERVAL = 100.0  # ms between two checks of the connections
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -45,7 +45,7 @@
 
 @implementer(IHalfCloseableProtocol)
 class ManagementConnection(Protocol):
-    """One call. A caller may close its own side once it has sent its request."""
+    """One connection with one request. The client may close its sending side after the request."""
 
     def __init__(self, server: ManagementServer) -> None:
         self.server = server
@@ -64,9 +64,9 @@
         self.server.connections.pop(self, None)
 
     def readConnectionLost(self) -> None:
-        """Called by Twisted: the caller has closed its side."""
+        """Called by Twisted when the client has closed its sending side."""
         if self.answered_at is None:
-            self.transport.abortConnection()  # it has sent no request, and can't any more
+            self.transport.abortConnection()  # the request is incomplete and cannot be completed
         else:
             self.transport.loseConnection()
 
@@ -76,17 +76,17 @@
     def dataReceived(self, data: bytes) -> None:
         """Called by Twisted."""
         if self.answered_at is not None:
-            return  # one call to a connection
+            return  # one request per connection
         try:
             self.http.receive_data(data)
             while self.answered_at is None:
                 if not self._handle(self.http.next_event()):
-                    return  # not complete yet, or over
+                    return  # the request is incomplete, or already answered
         except h11.RemoteProtocolError as e:
             self.answer(e.error_status_hint, {"error": str(e)})
 
     def _handle(self, event: object) -> bool:
-        """Takes in an event of the parser; false if it tells of no part of a request."""
+        """Processes an event of the parser; False if it is not a part of a request."""
         if isinstance(event, h11.Request):
             self._head_received(event)
         elif isinstance(event, h11.Data):
@@ -95,7 +95,7 @@
                 self.answer(413, BODY_TOO_LARGE)
         elif isinstance(event, h11.EndOfMessage) and self.request is not None:
             method, target = self.request.method.decode(), self.request.target.decode("latin-1")
-            self.answer(*self.server.call(method, target))
+            self.answer(*self.server.handle_request(method, target))
         else:
             return False
         return True
@@ -109,7 +109,7 @@
             self.transport.write(self.http.send(proceed) or b"")
 
     def answer(self, status: int, content: dict[str, Any]) -> None:
-        """The one answer; the connection closes behind it."""
+        """Writes the only response of the connection, then closes the sending side."""
         self.answered_at = self.server.switch.wheel.now
         self.server.switch.counters[CountFamily.MANAGEMENT_ANSWERS + str(status)] += 1
         body = orjson.dumps(content)
@@ -120,44 +120,45 @@
         ]
         if status == 405:
             headers.append(("Allow", content["allow"]))
-        response = h11.Response(status_code=status, headers=headers, reason=REASONS.get(status, b""))
+        response = h11.Response(status_code=status, headers=headers, reason=REASON_PHRASES.get(status, b""))
         data = self.http.send(response) or b""
         if self.request is None or self.request.method != b"HEAD":
             data += self.http.send(h11.Data(data=body)) or b""
         self.transport.write(data)
-        # Our side closes; what still comes is read and dropped, else a reset could overtake the answer.
+        # Only the sending side is closed, and further data is read and discarded: closing the connection with
+        # unread data sends a reset, which could overtake the response.
         self.transport.loseWriteConnection()
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """One management call."""
+class Route:
+    """The method and the handler of one path."""
 
     method: str
     run: Callable[[], Answer]
 
 
 class ManagementServer(Factory):
-    """All calls of operators."""
+    """Owner of the management connections, and router of their requests."""
 
     noisy = False
 
     def __init__(self, switch: Switch) -> None:
         self.switch = switch
-        self.connections: dict[ManagementConnection, None] = {}  # the longest there first
-        self.calls = {
-            "/v1/readyz": Call("GET", self._ready),
-            "/v1/metrics": Call("GET", self._figures),
-            "/v1/softswitch/drain": Call("POST", self._drain),
-            "/v1/softswitch/activate": Call("POST", self._activate),
+        self.connections: dict[ManagementConnection, None] = {}  # the oldest first
+        self.routes = {
+            "/v1/readyz": Route("GET", self._ready),
+            "/v1/metrics": Route("GET", self._figures),
+            "/v1/softswitch/drain": Route("POST", self._drain),
+            "/v1/softswitch/activate": Route("POST", self._activate),
         }
-        # Calls of components, by path, or by a beginning that ends with `/`; and figures of theirs.
+        # Routes of components, by path or by a path prefix that ends with `/`.
         self.component_calls: dict[str, ComponentCall] = {}
-        self.components: dict[str, Component] = {}
-        self._sweep_scheduled = False  # none is while nobody is connected
+        self.components: dict[str, Component] = {}  # their figures are part of the metrics
+        self._sweep_scheduled = False  # only while there are connections
 
     def buildProtocol(self, addr: object) -> ManagementConnection:
-        """Called by Twisted as an operator connects."""
+        """Called by Twisted when a client connects."""
         if len(self.connections) >= MAX_CONNECTIONS:
             self._shed_one()
         connection = ManagementConnection(self)
@@ -168,26 +169,26 @@
         return connection
 
     def _shed_one(self) -> None:
-        """Guards good callers from those who connect and ask nothing. One that was answered goes first."""
+        """Aborts an answered connection, or else the oldest, so that silent clients never block others."""
         answered = (c for c in self.connections if c.answered_at is not None)
         victim = next(answered, None) or next(iter(self.connections))
         self.switch.counters[Count.MANAGEMENT_SHED] += 1
         self.connections.pop(victim)
         victim.transport.abortConnection()
 
-    def call(self, method: str, target: str) -> Answer:
-        """Runs the call of a request."""
+    def handle_request(self, method: str, target: str) -> Answer:
+        """Returns the status and the content of the response to a request."""
         path = target.partition("?")[0]
-        known = self.calls.get(path)
-        if known is not None:
-            return known.run() if method == known.method else _wrong_method(path, known.method)
-        for beginning, call in self.component_calls.items():
-            if path == beginning or (beginning.endswith("/") and path.startswith(beginning)):
+        route = self.routes.get(path)
+        if route is not None:
+            return route.run() if method == route.method else _wrong_method(path, route.method)
+        for prefix, call in self.component_calls.items():
+            if path == prefix or (prefix.endswith("/") and path.startswith(prefix)):
                 if method != call.method:
                     return _wrong_method(path, call.method)
-                return call.answer(path[len(beginning) :])
-        there_are = ", ".join((*self.calls, *self.component_calls))
-        return 404, {"error": f"no such call; there are {there_are}"}
+                return call.answer(path[len(prefix) :])
+        known_paths = ", ".join((*self.routes, *self.component_calls))
+        return 404, {"error": f"no such call; there are {known_paths}"}
 
     def _ready(self) -> Answer:
         lifecycle = self.switch.lifecycle
@@ -212,8 +213,8 @@
         lifecycle = self.switch.lifecycle
         if lifecycle.phase is Phase.DRAINED:
             logger.info("activated: takes callers again")
-        done = lifecycle.activate(self.switch.wheel.now)
-        return 200 if done else 409, {"phase": lifecycle.phase.value}
+        activated = lifecycle.activate(self.switch.wheel.now)
+        return 200 if activated else 409, {"phase": lifecycle.phase.value}
 
     def _sweep(self) -> None:
         now = self.switch.wheel.now
@@ -228,5 +229,5 @@
                 connection.transport.abortConnection()
 
 
-def _wrong_method(path: str, wanted: str) -> Answer:
-    return 405, {"error": f"{path} wants {wanted}", "allow": wanted}
+def _wrong_method(path: str, allowed: str) -> Answer:
+    return 405, {"error": f"{path} wants {allowed}", "allow": allowed}
