--- a/softswitch/net/call_control.py
+++ b/softswitch/net/call_control.py
@@ -39,10 +39,10 @@
 MAX_UNREAD = 262_144  # max bytes queued for a client that does not read
 MAX_ENDED_CALLS = 2_048  # ended calls whose last event is retained for later watchers
 MAX_CAUSE = 127
-HANDSHAKE_TIMEOUT = 2_000.0  # ms
-PING_INTERVAL = 20_000.0  # ms
-SILENCE_TIMEOUT = 50_000.0  # ms
-SWEEP_INTERVAL = 1_000.0  # ms
+HANDSHAKE_TIMEOUT = 2_000.0  # ms from connecting to the end of the handshake
+PING_INTERVAL = 20_000.0  # ms of silence from which a client is pinged at each sweep
+SILENCE_TIMEOUT = 50_000.0  # ms of silence after which a connection is closed
+SWEEP_INTERVAL = 1_000.0  # ms between two checks of the connections
 # Close codes of RFC 6455.
 GOING_AWAY, UNSUPPORTED_DATA, MESSAGE_TOO_BIG = 1001, 1003, 1009
 # Error codes: one for each failure reason of the core, and those for invalid messages.
@@ -121,12 +121,12 @@
         self._text = ""  # received part of an incomplete message
 
     def connectionMade(self) -> None:
-        """Called by Twisted."""
+        """Called by Twisted when the connection is established."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
 
     def connectionLost(self, reason: object = None) -> None:
-        """Called by Twisted."""
+        """Called by Twisted when the connection has ended."""
         self.is_over = True
         self.server.connection_lost(self)
 
@@ -144,7 +144,7 @@
         self.transport.resumeProducing()
 
     def stopProducing(self) -> None:
-        """Called by Twisted."""
+        """Called by Twisted when the connection has ended."""
 
     def _write(self, event: Event) -> None:
         if self.is_over:
@@ -185,7 +185,7 @@
         self.transport.loseConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Called by Twisted."""
+        """Called by Twisted when data is received."""
         self.last_data_at = self.server.switch.wheel.now
         try:
             self.websocket.receive_data(data)
--- a/softswitch/net/management.py
+++ b/softswitch/net/management.py
@@ -56,11 +56,11 @@
         self.answered_at: float | None = None
 
     def connectionMade(self) -> None:
-        """Called by Twisted."""
+        """Called by Twisted when the connection is established."""
         self.transport.setTcpNoDelay(True)
 
     def connectionLost(self, reason: object = None) -> None:
-        """Called by Twisted."""
+        """Called by Twisted when the connection has ended."""
         self.server.connections.pop(self, None)
 
     def readConnectionLost(self) -> None:
@@ -71,10 +71,10 @@
             self.transport.loseConnection()
 
     def writeConnectionLost(self) -> None:
-        """Called by Twisted."""
+        """Called by Twisted when the sending side is closed."""
 
     def dataReceived(self, data: bytes) -> None:
-        """Called by Twisted."""
+        """Called by Twisted when data is received."""
         if self.answered_at is not None:
             return  # one request per connection
         try:
--- a/softswitch/net/sip_codec.py
+++ b/softswitch/net/sip_codec.py
@@ -7,7 +7,7 @@
 
 from softswitch.core.call import ReleaseCause, SetupRequest
 
-MAX_MESSAGE = 16_384  # bytes
+MAX_MESSAGE = 16_384  # bytes of head and body
 MAX_CONTENT_LENGTH_DIGITS = 30
 # Headers that may not appear twice with different values.
 SINGLE_HEADERS = ("content-length", "call-id", "cseq", "subject", "x-patience", "x-facts")
--- a/softswitch/net/sip_connection.py
+++ b/softswitch/net/sip_connection.py
@@ -120,14 +120,14 @@
     # Twisted's protocol callbacks
 
     def connectionMade(self) -> None:
-        """Called by Twisted."""
+        """Called by Twisted when the connection is established."""
         self.transport.setTcpNoDelay(True)
         self.transport.bufferSize = READ_SIZE
         self.transport.registerProducer(self, True)
         self.owner.connection_opened(self)
 
     def connectionLost(self, reason: object = None) -> None:
-        """Called by Twisted."""
+        """Called by Twisted when the connection has ended."""
         self.owner.connection_lost(self)
 
     def dataReceived(self, data: bytes) -> None:
@@ -206,12 +206,12 @@
             super().resumeProducing()
 
     def stopProducing(self) -> None:
-        """Called by Twisted."""
+        """Called by Twisted when the connection has ended."""
 
     # messages
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        """Called by Twisted."""
+        """Called by Twisted when a line is longer than MAX_LENGTH."""
         self.owner.message_unreadable(self, SipParseError("a line without end"))
 
     def lineReceived(self, line: bytes) -> None:
--- a/tests/test_log_rate_limit.py
+++ b/tests/test_log_rate_limit.py
@@ -1,19 +1,19 @@
-"""The bound on log lines."""
+"""The limit on the rate of log lines."""
 
 from softswitch.log_rate_limit import INTERVAL, MAX_LINES, LogRateLimit
 
 
-def test_each_place_writes_so_many_lines_and_then_tells_how_many_were_left_out():
-    # guards against a caller that fills the log with one line a message
+def test_each_place_logs_up_to_the_limit_and_then_reports_the_number_left_out():
+    # Guards against a caller that fills the log with one line per message.
     now = [0.0]
-    quiet = LogRateLimit(lambda: now[0])
+    rate_limit = LogRateLimit(lambda: now[0])
 
-    def said(line, n):
+    def logged(line, n):
         records = [{"name": "a", "line": line, "message": f"caller {k}"} for k in range(n)]
-        return [r["message"] for r in records if quiet(r)]
+        return [r["message"] for r in records if rate_limit(r)]
 
-    assert said(1, 1000) == [f"caller {k}" for k in range(MAX_LINES)]
-    assert said(2, 1) == ["caller 0"]  # another place is not touched
+    assert logged(1, 1000) == [f"caller {k}" for k in range(MAX_LINES)]
+    assert logged(2, 1) == ["caller 0"]  # another place has its own limit
     now[0] = INTERVAL
-    assert said(1, 2) == ["caller 0 (990 more like it were left out)", "caller 1"]
-    assert len(quiet._places) == 2
+    assert logged(1, 2) == ["caller 0 (990 more like it were left out)", "caller 1"]
+    assert len(rate_limit._places) == 2
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -1,4 +1,4 @@
-"""The softswitch on real sockets: SIP callers, quote engines, the notice board. See support/harness.py."""
+"""The softswitch on real sockets: SIP callers, quote engines, endpoint watch. See support/harness.py."""
 
 import os
 import socket
@@ -18,7 +18,7 @@
 
 
 class Calls(Scenario):
-    def test_a_call_stands_and_ends(self):
+    def test_a_call_is_established_and_released(self):
         self.play("""
             c0 send INVITE 1 body=\xe9\x00 X-Retry=1
             e0 expect SET_UP {1} 3=x 5=\\d+ 11=77 33=\xe9\x00
@@ -32,7 +32,7 @@
             c0 expect nothing 150
             """)
 
-    def test_pieces_case_and_several_at_once(self):
+    def test_split_messages_header_case_and_several_messages_at_once(self):
         self.play(
             r"""
             c0 send raw invite: x
@@ -48,7 +48,7 @@
             engines=1,
         )
 
-    def test_given_up_crossing_answer_and_unknown_messages(self):
+    def test_cancelled_call_crossing_answer_and_messages_of_unknown_calls(self):
         self.play("""
             c0 send INVITE 1
             e0 expect SET_UP {1}
@@ -70,7 +70,7 @@
             c0 expect nothing 200
             """)
 
-    def test_refusals_go_elsewhere_and_the_answer_tells_when_to_come_back(self):
+    def test_a_rejected_call_is_retried_elsewhere_and_the_response_has_retry_advice(self):
         self.play("""
             c0 send INVITE 1 X-Patience=3000
             e0 expect SET_UP {1}
@@ -97,14 +97,14 @@
                 assert time.monotonic() - began < 3.0
             assert time.monotonic() - began > 0.35  # 300 ms in these settings, and 50 more
 
-    def test_patience_counts_from_the_last_byte_though_the_program_stood_still(self):
+    def test_the_callers_timeout_counts_from_the_last_byte_although_the_process_was_stopped(self):
         with Stage() as s:
             s.play("c0 send OPTIONS\nc0 expect 200\np send SIGSTOP\nc0 send INVITE 1 X-Patience=900")
             began = time.monotonic()
             s.play("c0 wait 400\np send SIGCONT\nc0 expect SIP/2.0 5")
             assert time.monotonic() - began < 0.9
 
-    def test_a_repeated_set_up_is_not_sent_twice(self):
+    def test_a_retransmitted_call_setup_is_not_sent_twice(self):
         self.play("""
             c0 send INVITE 1
             e0 expect SET_UP {1}
@@ -118,7 +118,7 @@
 
 
 class Connections(Scenario):
-    def test_a_bye_takes_any_connection_and_so_does_ours(self):
+    def test_byes_in_both_directions_may_use_any_connection(self):
         self.play("""
             c0 send INVITE 1
             e0 expect SET_UP {1}
@@ -143,7 +143,7 @@
             c2 expect ^BYE .*Call-ID: {2}
             """)
 
-    def test_an_engine_that_hangs_up_is_called_anew_and_its_release_heard(self):
+    def test_a_closed_engine_link_is_reopened_and_releases_arrive_on_it(self):
         self.play("""
             c0 send INVITE 1
             e0 expect SET_UP {1}
@@ -156,24 +156,24 @@
             c0 expect ^BYE .*Call-ID: {1}.*cause=16
             """)
 
-    def test_a_dead_engine_cuts_its_calls(self):
+    def test_calls_at_a_dead_engine_are_cut(self):
         with Stage() as s:
             s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK")
             s.doors["e0"].close()
             s.play("e0 close\nc0 expect ^BYE .*Call-ID: {1}.*cause=41")
 
-    def test_a_silent_engine_is_tested_and_its_calls_released_in_time(self):
+    def test_a_silent_engine_is_probed_and_its_calls_are_released_in_time(self):
         with Stage() as s:
             s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK")
             began = time.monotonic()
-            del s.doors["e0"]  # new connections come up, and nothing comes on them either
+            del s.doors["e0"]  # new connections are accepted by the kernel, but nothing is ever sent on them
             s.play("e0 expect TEST")
-            while (came := s.next("c0", 1.0)) is None:
+            while (message := s.next("c0", 1.0)) is None:
                 assert time.monotonic() - began < 8.0
-            assert came.startswith("BYE")
-            assert "cause=41" in came
+            assert message.startswith("BYE")
+            assert "cause=41" in message
 
-    def test_a_link_that_stays_open_and_brings_nothing_is_renewed_and_its_calls_go_on(self):
+    def test_an_open_link_that_stays_silent_is_reopened_and_its_calls_continue(self):
         with Stage(engines=1) as s:
             s.play(
                 "c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK\n"
@@ -186,7 +186,7 @@
             )
             assert time.monotonic() - began < 3.0
 
-    def test_a_link_that_misses_the_beat_of_its_engines_state_is_renewed_soon(self):
+    def test_a_link_without_its_engines_regular_state_reports_is_reopened_soon(self):
         with Stage(engines=1) as s:
             s.play(
                 "e0 wait 50\n"
@@ -195,14 +195,14 @@
             )
             began = time.monotonic()
             s.play("e0 expect TEST\ne0 expect end")
-            assert 0.2 < time.monotonic() - began < 1.0  # 2 s without it
+            assert 0.2 < time.monotonic() - began < 1.0  # without the check of state reports it takes 2 s
 
-    def test_a_caller_that_hangs_up_gives_its_set_up_up(self):
+    def test_a_closed_caller_connection_abandons_its_call_setups(self):
         self.play("c0 send INVITE 1\ne0 expect SET_UP {1}\nc0 close\ne0 expect RELEASE {1} 31=16")
 
 
-class Notices(Scenario):
-    def test_a_draining_engine_gets_nothing_new_also_after_the_board_was_lost(self):
+class EndpointUpdates(Scenario):
+    def test_a_draining_engine_gets_no_new_calls_also_after_the_watch_connection_was_lost(self):
         self.play("""
             b expect after 3
             b send 4 draining e0
@@ -220,7 +220,7 @@
             b expect end
             """)
 
-    def test_calls_at_an_engine_that_is_gone_are_released(self):
+    def test_calls_at_a_removed_engine_are_released(self):
         self.play("""
             c0 send INVITE 1
             e0 expect SET_UP {1}
@@ -232,10 +232,10 @@
 
 
 class Reload(Scenario):
-    """Guards against a SIGHUP that ends the program, and a board that is left but still followed."""
+    """Guards against a SIGHUP that ends the program, and updates from a watch server no longer configured."""
 
-    def test_the_new_board_is_followed_with_the_numbers_going_on_and_calls_go_on(self):
-        said = self.play("""
+    def test_the_new_watch_server_continues_the_revisions_and_calls_continue(self):
+        log = self.play("""
             b expect after 3
             b send 4 draining e0
             c0 send INVITE 1
@@ -254,9 +254,9 @@
             b2 expect end
             b expect after 5
             """)
-        assert said.count("configuration reloaded") == 2, said
+        assert log.count("configuration reloaded") == 2, log
 
-    def test_a_file_that_cannot_be_served_keeps_the_old_board(self):
+    def test_an_invalid_file_keeps_the_old_watch_server(self):
         for bad in ("{", "[]", '{"board":"nowhere"}', '{"board":"127.0.0.1:9","known":{"notices":[{}]}}'):
             with self.subTest(bad), Stage() as s:
                 s.play(
@@ -270,8 +270,8 @@
 
 
 class BadInput(Scenario):
-    def test_each_is_answered_or_closed_with_one_line(self):
-        for sent, then in (
+    def test_each_bad_message_is_answered_or_closed_with_one_log_line(self):
+        for sent, expected in (
             ("raw nonsense\\r\\n\\r\\n", "400"),
             ("raw INVITE sip:7@net SIP/2.0\\r\\nno colon\\r\\n", "400"),
             (f"raw {INVITE}Content-Length: -1\\r\\n\\r\\n", "400"),
@@ -306,13 +306,13 @@
             ("REGISTER 1", "405"),
         ):
             with self.subTest(sent[:40]):
-                said = self.play(
-                    f"c0 send {sent}\nc0 expect {'SIP/2.0 ' * then.isdigit()}{then}\n"
+                log = self.play(
+                    f"c0 send {sent}\nc0 expect {'SIP/2.0 ' * expected.isdigit()}{expected}\n"
                     "e0 expect nothing 20\nc1 send OPTIONS\nc1 expect 200"
                 )
-                assert said.count("WARNING") == (then != "405"), said
+                assert log.count("WARNING") == (expected != "405"), log
 
-    def test_one_id_twice_is_answered_at_once_and_the_first_set_up_goes_on(self):
+    def test_a_duplicate_id_is_answered_at_once_and_the_first_call_setup_continues(self):
         self.play("""
             c0 send INVITE 1
             e0 expect SET_UP {1}
@@ -327,7 +327,7 @@
             e0 expect nothing 50
             """)
 
-    def test_refusals_and_crossing_ends_close_no_callers_connection(self):
+    def test_rejections_and_crossing_cancels_close_no_connection(self):
         with Stage(engines=1, settings={"limits": {"send_cap": 1}}) as s:
             for n in range(1, 81):
                 s.play(
@@ -335,30 +335,32 @@
                     f"c0 expect SIP/2.0 503\nc0 send CANCEL {n}\nc0 expect 481"
                 )
 
-    def test_the_same_again_as_soon_as_it_is_turned_away_ends_the_connection(self):
-        for again, most in (("INVITE 1 X-Patience=soon", 17), ("INVITE 1 Subject=strange", 65)):
-            with self.subTest(again), Stage() as s:
+    def test_repeating_a_message_as_soon_as_it_is_rejected_closes_the_connection(self):
+        for repeated, limit in (("INVITE 1 X-Patience=soon", 17), ("INVITE 1 Subject=strange", 65)):
+            with self.subTest(repeated), Stage() as s:
                 got = []
-                while got[-1:] != ["end"] and len(got) <= most:
-                    s.party("c0").send(again)
+                while got[-1:] != ["end"] and len(got) <= limit:
+                    s.party("c0").send(repeated)
                     got.append(s.next("c0"))
-                code = "400" if "soon" in again else "503"
-                assert len(got) == most and all(said.startswith(f"SIP/2.0 {code}") for said in got[:-1]), got
+                code = "400" if "soon" in repeated else "503"
+                assert len(got) == limit and all(
+                    response.startswith(f"SIP/2.0 {code}") for response in got[:-1]
+                ), got
 
-    def test_more_set_ups_at_once_than_a_newcomer_may_have_open_are_refused(self):
+    def test_too_many_pending_call_setups_on_a_new_connection_are_rejected(self):
         with Stage() as s:
             for n in range(1, 81):
                 s.party("c0").send(f"INVITE {n}")
             s.play("e0 expect SET_UP\nc0 expect SIP/2.0 503 .*Call-ID: {65}.*X-Later-Ms")
 
-    def test_silent_half_and_idle_connections_are_closed_and_a_callers_is_kept(self):
+    def test_silent_half_written_and_idle_connections_are_closed_and_recent_ones_are_retained(self):
         with Stage(config={"limits": {"sockets": 64}}) as s:
             s.play("c0 send OPTIONS\nc0 expect 200\nc1 send raw INVITE sip:7@net SIP/2.0\\r\\nVia: a\\r\\n")
             s.party("c2")
             began = time.monotonic()
             s.play("c2 expect end\nc1 expect SIP/2.0 408\nc1 expect end")
             assert 1.5 < time.monotonic() - began < 3.0
-            for n in range(3, 9):  # more than the few idle ones that are kept: the longest idle is closed
+            for n in range(3, 9):  # more idle connections than are retained: the longest idle one is closed
                 s.play(f"c{n} send OPTIONS\nc{n} expect 200")
             began = time.monotonic()
             while (end := s.next("c0", 1.0)) is None:
@@ -366,7 +368,7 @@
             assert end == "end"
             s.play("c8 expect nothing 100")
 
-    def test_a_crowd_that_asks_once_and_stays_closes_no_callers_connection(self):
+    def test_many_idle_connections_with_one_request_each_displace_no_caller(self):
         with Stage(config={"limits": {"sockets": 64}}) as s:
             s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200")
             crowd = []
@@ -375,14 +377,14 @@
                 crowd[-1].sendall(b"OPTIONS sip:ping@net SIP/2.0\r\nContent-Length: 0\r\n\r\n")
                 s.pump(0.01)
             s.play("c0 send INVITE 2\ne0 expect SET_UP {2}\ne0 send ANSWER 2 33=d\nc0 expect 200")
-            s.party("c1")  # a newcomer beside it has a moment to say what it wants
+            s.party("c1")  # a new connection beside the crowd has a moment to send its first request
             for _ in range(10):
                 crowd.append(socket.create_connection(s.sip))
             s.play("c1 wait 50\nc1 send INVITE 3\ne0 expect SET_UP {3}\ne0 send ANSWER 3 33=d\nc1 expect 200")
             for sock in crowd:
                 sock.close()
 
-    def test_a_flood_of_silent_connections_leaves_room_for_callers_and_engines(self):
+    def test_a_flood_of_silent_connections_leaves_capacity_for_callers_and_engines(self):
         with Stage(config={"limits": {"sockets": 80}}) as s:
             flood = []
             for _ in range(200):
@@ -396,22 +398,22 @@
             for sock in flood:
                 sock.close()
 
-    def test_a_spoilt_answer_ends_its_connection_and_the_set_ups_there_are_sent_anew_in_time(self):
-        # guards against reading on behind noise, and calls that wait for answers a spoilt link can't bring
-        good, standing = "00130900000000000000{n}21000161", "{n:016x}"
-        for spoilt in (
+    def test_a_corrupt_engine_message_closes_its_link_and_pending_call_setups_are_resent_in_time(self):
+        # Guards against reading on behind corrupt data, and calls that wait for answers on a corrupt link.
+        valid_answer, call_field = "00130900000000000000{n}21000161", "{n:016x}"
+        for corrupt in (
             "0005" + "68" * 5,
             "fff3" + "00" * 40,
             "3000" + "09" * 30,
-            "00",  # noise, cut short
-            "000909" + standing,
-            "00090c" + standing,
-            "000977" + standing,  # lacking, unknown
-            "000f09" + standing + "2100016121000162",
-        ):  # longer than its length says
-            with self.subTest(spoilt), Stage() as s:
+            "00",  # a message cut short
+            "000909" + call_field,
+            "00090c" + call_field,
+            "000977" + call_field,  # required fields missing, unknown type
+            "000f09" + call_field + "2100016121000162",
+        ):  # the last one is longer than its length field says
+            with self.subTest(corrupt), Stage() as s:
                 s.play("c0 send INVITE 1\nc0 send INVITE 2\ne0 expect SET_UP {1}\ne0 expect SET_UP {2}")
-                s.party("e0").sock.sendall(bytes.fromhex(spoilt.format(n=1) + good.format(n="02")))
+                s.party("e0").sock.sendall(bytes.fromhex(corrupt.format(n=1) + valid_answer.format(n="02")))
                 s.play(
                     "e0 expect end\ne0 wait 100\nc0 expect nothing 50\n"
                     "e0 expect SET_UP\ne0 expect SET_UP\n"
@@ -419,7 +421,7 @@
                 )
                 assert s.said().count("WARNING engine") == 1, s.said()
 
-    def test_more_than_belongs_to_an_answer_is_dropped_and_the_good_one_counts_once(self):
+    def test_answers_of_unknown_calls_and_duplicate_answers_are_dropped(self):
         self.play("""
             c0 send INVITE 1
             e0 expect SET_UP {1}
@@ -434,20 +436,20 @@
             c0 expect nothing 50
             """)
 
-    def test_an_engine_that_hangs_up_at_once_is_called_anew_with_back_off(self):
+    def test_an_engine_that_closes_its_links_at_once_is_redialled_with_back_off(self):
         with Stage() as s:
-            until, came = time.monotonic() + 2.0, 0
+            until, connections = time.monotonic() + 2.0, 0
             while time.monotonic() < until:
                 s.pump(0.02)
                 if s.parties.get("e0"):
-                    came += 1
+                    connections += 1
                     s.parties.pop("e0").sock.close()
-            assert 4 <= came <= 12, came
+            assert 4 <= connections <= 12, connections
 
-    def test_a_class_that_is_not_known_is_refused(self):
+    def test_an_unknown_class_is_rejected(self):
         self.play("c0 send INVITE 1 Subject=strange\nc0 expect SIP/2.0 503")
 
-    def test_a_bad_configuration_is_one_plain_line(self):
+    def test_an_invalid_configuration_is_reported_in_one_line(self):
         for config in (
             {"settings": {}},
             {"listen": "here"},
@@ -464,7 +466,7 @@
 
 
 class Stopping(Scenario):
-    def test_sigterm_answers_what_is_open_and_what_still_comes(self):
+    def test_sigterm_answers_pending_and_still_arriving_call_setups(self):
         with Stage() as s:
             s.play("""
                 c0 send INVITE 1
@@ -482,8 +484,8 @@
                 """)
             assert s.said().count("counters {") == 2
 
-    def test_the_end_comes_before_sigkill_also_where_deadlines_are_short(self):
-        # guards against a stop that waits for calls that stand until it is killed, 0.7 s after the deadline
+    def test_a_stop_ends_before_sigkill_also_with_short_deadlines(self):
+        # Guards against a stop that waits for established calls until SIGKILL, 0.7 s after the deadline.
         lane = {"name": "x", "aim": 500.0, "credit": 1.0, "hard_limit": 900.0}
         with Stage(settings={"lanes": [lane]}) as s:
             s.play(
@@ -494,7 +496,7 @@
             s.play("p send SIGTERM\np expect 0")
             assert time.monotonic() - began < 1.6
 
-    def test_the_next_process_releases_the_calls_of_one_that_was_killed(self):
+    def test_the_next_process_releases_the_calls_of_a_killed_one(self):
         with Stage() as s:
             for n in (1, 2):
                 s.play(f"c0 send INVITE {n}\ne0 expect SET_UP\ne0 send ANSWER {n} 33=d\nc0 expect 200 OK")
