--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The call-control API: its hard cases, and ten thousand calls beside SIP. See tests/support/harness.py."""
+"""The call-control API: edge cases, and 10,000 calls by it and by SIP. See tests/support/harness.py."""
 
 import json
 import socket
@@ -14,14 +14,14 @@
 import contextlib
 
 
-class HardCases(unittest.TestCase):
+class EdgeCases(unittest.TestCase):
     def play(self, scenario, **stage):
         with Stage(**stage) as s:
             s.play(scenario)
             assert s.program.poll() is None and "ERROR" not in s.said(), s.said()
             return s.said()
 
-    def test_place_stands_released_by_the_engine(self):
+    def test_a_placed_call_is_established_and_released_by_the_engine(self):
         self.play("""
             w0 send place 1 description_b64="6QA="
             w0 expect "event":"setting_up"
@@ -36,7 +36,7 @@
             w0 expect "event":"released"
             """)
 
-    def test_release_of_a_standing_call_reaches_the_engine(self):
+    def test_release_of_an_established_call_reaches_the_engine(self):
         self.play("""
             w0 send place 1
             e0 expect SET_UP {1}
@@ -51,7 +51,7 @@
             w1 expect "event":"released","cause":31
             """)
 
-    def test_release_before_set_up_finishes(self):
+    def test_release_before_the_call_is_established(self):
         self.play("""
             w0 send place 1
             w0 expect setting_up
@@ -63,7 +63,7 @@
             w0 expect nothing 200
             """)
 
-    def test_socket_drops_before_set_up_finishes(self):
+    def test_socket_closes_before_the_call_is_established(self):
         self.play("""
             w0 send place 1
             e0 expect SET_UP {1}
@@ -73,7 +73,7 @@
             w1 expect "code":"given_up"
             """)
 
-    def test_socket_drops_while_a_call_stands_and_comes_back(self):
+    def test_an_established_call_survives_its_socket_and_can_be_watched_on_another(self):
         self.play("""
             w0 send place 1
             e0 expect SET_UP {1}
@@ -88,7 +88,7 @@
             w1 expect "event":"released","cause":41
             """)
 
-    def test_a_call_nobody_watches_any_more_is_released(self):
+    def test_a_call_without_watchers_is_released(self):
         self.play(
             """
             w0 send place 1
@@ -102,7 +102,7 @@
             control="keep_s = 0.2",
         )
 
-    def test_a_repeated_id_also_across_fronts(self):
+    def test_a_duplicate_id_is_rejected_also_across_sip_and_the_api(self):
         self.play("""
             w0 send place 1
             w0 expect setting_up
@@ -125,7 +125,7 @@
             """)
 
     def test_bad_json_and_bad_messages_leave_the_socket_open(self):
-        said = [
+        cases = [
             ("raw {nonsense", "bad_json"),
             ("raw [1]", "bad_version"),
             ('raw {"v":2}', "bad_version"),
@@ -146,11 +146,11 @@
             ("watch 9", "unknown"),
         ]
         self.play(
-            "\n".join(f'w0 send {m}\nw0 expect "code":"{code}"' for m, code in said)
+            "\n".join(f'w0 send {m}\nw0 expect "code":"{code}"' for m, code in cases)
             + "\nw0 send place 1\nw0 expect setting_up\ne0 expect SET_UP {1}"
         )
 
-    def test_too_long_binary_or_foreign_is_closed(self):
+    def test_connections_with_too_long_binary_or_foreign_requests_are_closed(self):
         self.play("w0 send raw " + "x" * 30000 + "\nw0 expect closed 1009")
         with Stage() as s:
             s.party("w0", path="/elsewhere")
@@ -159,7 +159,7 @@
             s.party("w2").sock.sendall(b"\x00\x00 not a frame")
             s.play("w2 expect closed 1002")
 
-    def test_silent_newcomers_are_closed_and_shed_when_room_is_short(self):
+    def test_silent_new_connections_are_closed_and_shed_when_capacity_is_short(self):
         with Stage(control="most_sockets = 2") as s:
             flood = []
             for _ in range(12):
@@ -173,35 +173,35 @@
                     assert sock.recv(1) == b""
             assert time.monotonic() - began < 4.0
 
-    def test_refusals_tell_when_to_come_back(self):
+    def test_rejected_and_failed_calls_end_with_their_code(self):
         self.play('w0 send place 1 class="strange"\nw0 expect setting_up\nw0 expect "code":"refused"')
         self.play(
             "w0 send place 1 patience_ms=700\nw0 expect setting_up\ne0 expect SET_UP\n"
             'w0 expect "code":"failed"\ne0 expect RELEASE {1}'
         )
 
-    def test_a_client_that_does_not_read_is_closed_and_its_set_ups_given_up(self):
+    def test_a_client_that_does_not_read_is_closed_and_its_established_call_continues(self):
         with Stage() as s:
             s.play("w0 send place 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=" + "d" * 12000)
             sock = s.party("w0").sock
-            big = (
+            watches = (
                 s.party("w0").ws.send(
                     call_control.TextMessage(data=json.dumps({"v": 1, "do": "watch", "id": call_id(1)}))
                 )
                 * 50
             )
-            del s.parties["w0"]  # its answers are read no more
+            del s.parties["w0"]  # the test stops reading its messages
             sock.settimeout(0.2)
             began = time.monotonic()
             while "control client" not in s.said() and time.monotonic() - began < 20:
                 with contextlib.suppress(OSError):
-                    sock.sendall(big)
+                    sock.sendall(watches)
                 s.pump(0.01)
             assert "unread, connection closed" in s.said() or "unread" in s.said(), s.said()
             s.play("w1 send watch 1\nw1 expect stands")
             sock.close()
 
-    def test_a_planned_stop_answers_and_says_goodbye(self):
+    def test_a_planned_stop_answers_pending_calls_and_closes_with_1001(self):
         with Stage() as s:
             s.play("""
                 w0 send place 1 patience_ms=20000
@@ -213,11 +213,11 @@
                 p expect 0
                 """)
 
-    def test_each_outcome_of_the_core_has_one_code(self):
+    def test_each_failure_reason_has_its_own_code(self):
         assert set(call_control.CODES) == set(sip_calls.ANSWER_CODES) == set(FailureReason)
         assert len(set(call_control.CODES.values())) == len(FailureReason)
 
-    def test_bad_settings_are_one_plain_line(self):
+    def test_invalid_settings_are_reported_in_one_line(self):
         for bad in ("most_sockets = 0", "strange = 1", "keep_s = [", 'most_open = "many"'):
             stage = Stage(control=bad)
             with self.subTest(bad):
@@ -228,7 +228,7 @@
 KINDS = {
     "a": "the engine ends it",
     "b": "the caller ends it",
-    "c": "its lines are busy",
+    "c": "its circuits are busy",
     "d": "given up",
     "f": "cut by the engine",
 }
@@ -239,11 +239,11 @@
 
 
 class SideBySide(unittest.TestCase):
-    """Each number is called once by SIP and once over WebSocket; the number alone says what becomes of it."""
+    """Each number is called once by SIP and once over WebSocket; the number determines the call's end."""
 
-    EACH, AT_ONCE, SECONDS = 5_000, 24, 120.0
+    EACH, MAX_OPEN, SECONDS = 5_000, 24, 120.0
 
-    def test_ten_thousand_calls_end_alike_and_no_rule_is_broken(self):
+    def test_ten_thousand_calls_end_alike_and_no_rule_is_violated(self):
         lane = {"name": "x", "aim": 20000.0, "credit": 1.0, "late_value": 0.25, "hard_limit": 40000.0}
         family = {
             "network_form": "groups",
@@ -255,20 +255,20 @@
         }
         with Stage(settings={"lanes": [lane], "family_info": family}) as s:
             self.stage, self.next_call, self.open, self.done = s, 0, set(), {}
-            self.out, self.sends, self.standing, self.faults = {}, Counter(), {}, []
-            self.releases, self.drained = Counter(), None
+            self.attempts, self.sends, self.established, self.violations = {}, Counter(), {}, []
+            self.releases, self.drained_at = Counter(), None
             for n in range(4):
                 s.party(f"c{n}")
                 s.party(f"w{n}")
-            s.hook, until = self.heard, time.monotonic() + self.SECONDS
+            s.hook, until = self.received, time.monotonic() + self.SECONDS
             while len(self.done) < 2 * self.EACH:
                 assert time.monotonic() < until, (len(self.done), self.open, s.said())
-                while len(self.open) < self.AT_ONCE and self.next_call < 2 * self.EACH:
+                while len(self.open) < self.MAX_OPEN and self.next_call < 2 * self.EACH:
                     self.place(self.next_call)
                     self.next_call += 1
-                if self.drained is None and self.next_call > self.EACH:
+                if self.drained_at is None and self.next_call > self.EACH:
                     s.party("b").send("4 draining e1")
-                    self.drained = time.monotonic()
+                    self.drained_at = time.monotonic()
                 s.pump(0.05)
             settle = time.monotonic() + 0.5
             while time.monotonic() < settle:
@@ -277,22 +277,22 @@
         self.check()
 
     def place(self, n):
-        call, number, front = call_id(n), f"{n // 2:x}{kind_of(n // 2)}", "cw"[n % 2] + str(n // 2 % 4)
+        call, number, party = call_id(n), f"{n // 2:x}{kind_of(n // 2)}", "cw"[n % 2] + str(n // 2 % 4)
         self.open.add(call)
-        if front[0] == "c":
+        if party[0] == "c":
             facts = f"X-Patience=30000 X-Facts=dest:{n // 2 % 2}"
-            self.stage.party(front).send(f"INVITE {n} number={number} {facts}")
+            self.stage.party(party).send(f"INVITE {n} number={number} {facts}")
         else:
-            self.stage.party(front).send(f'place {n} number="{number}" patience_ms=30000 dest={n // 2 % 2}')
+            self.stage.party(party).send(f'place {n} number="{number}" patience_ms=30000 dest={n // 2 % 2}')
 
     def finish(self, call, *outcome):
-        """What its caller saw in the end; a second end is a fault."""
+        """Records the end of a call as its caller sees it; a second end is a violation."""
         if call in self.done:
-            self.faults.append(f"{call} ended twice: {self.done[call]} and {outcome}")
+            self.violations.append(f"{call} ended twice: {self.done[call]} and {outcome}")
         self.done[call] = outcome
         self.open.discard(call)
 
-    def heard(self, name, message):
+    def received(self, name, message):
         getattr(self, {"c": "sip", "w": "web", "e": "engine", "b": "board"}[name[0]])(name, message)
 
     def board(self, name, message):
@@ -300,9 +300,9 @@
 
     # the callers
 
-    def stood(self, name, call, description):
+    def call_established(self, name, call, description):
         if call in self.done or self.seen.setdefault(call, description) is not description:
-            self.faults.append(f"{call} stood twice or after its end")
+            self.violations.append(f"{call} established twice or after its end")
         if kind_of(int(call, 16) // 2) == "b":
             self.stage.party(name).send(f"{'BYE' if name[0] == 'c' else 'release'} {int(call, 16)}")
             if name[0] == "c":
@@ -318,65 +318,67 @@
             self.finish(call, "stood", self.seen.get(call), cause)
         elif "CSeq: 1 INVITE" in message:
             if message.startswith("SIP/2.0 200"):
-                self.stood(name, call, message.partition("||")[2])
+                self.call_established(name, call, message.partition("||")[2])
             else:
                 self.finish(call, {"503": "refused", "500": "failed"}[message[8:11]], "X-Later-Ms" in message)
 
     def web(self, name, message):
-        said = json.loads(message)
-        call, event = said["id"], said["event"]
+        fields = json.loads(message)
+        call, event = fields["id"], fields["event"]
         if event == "stands":
-            self.stood(name, call, b64decode(said["description_b64"]).decode("latin-1"))
+            self.call_established(name, call, b64decode(fields["description_b64"]).decode("latin-1"))
         elif event == "released" and kind_of(int(call, 16) // 2) == "b":
             self.finish(call, "stood", self.seen.get(call), "ended by the caller")
         elif event == "released":
-            self.finish(call, "stood", self.seen.get(call), said["cause"])
-        elif event == "turned_away" and said["code"] != "given_up":
-            self.finish(call, said["code"], "later_ms" in said)
+            self.finish(call, "stood", self.seen.get(call), fields["cause"])
+        elif event == "turned_away" and fields["code"] != "given_up":
+            self.finish(call, fields["code"], "later_ms" in fields)
         elif event not in ("setting_up", "turned_away"):
-            self.faults.append(message)
+            self.violations.append(message)
 
-    # the quote engines, which keep the records that the rules are checked by
+    # the quote engines; they keep the records from which the rules are checked
 
     def engine(self, name, message):
-        kind, call, *said = message.split(" ")
+        kind, call, *words = message.split(" ")
         n = int(call, 16)
         if kind == "SET_UP":
-            told = dict(word.split("=", 1) for word in said)
-            wanted = kind_of(n // 2)
-            if call in self.out or call in self.standing or call in self.done:
-                self.faults.append(f"{call} sent while out, standing or over")
-            passed_on = ("x", f"{n // 2:x}{wanted}", "v=0")
-            if call not in self.open or (told["3"], told["11"], told["33"]) != passed_on:
-                self.faults.append(f"not as its caller sent it: {message}")
-            if name == "e1" and self.drained and time.monotonic() > self.drained + 2.0:
-                self.faults.append(f"{call} sent to a draining engine")
+            fields = dict(word.split("=", 1) for word in words)
+            expected = kind_of(n // 2)
+            if call in self.attempts or call in self.established or call in self.done:
+                self.violations.append(
+                    f"{call} sent while an attempt is in flight, or while established or over"
+                )
+            sent_by_caller = ("x", f"{n // 2:x}{expected}", "v=0")
+            if call not in self.open or (fields["3"], fields["11"], fields["33"]) != sent_by_caller:
+                self.violations.append(f"not as its caller sent it: {message}")
+            if name == "e1" and self.drained_at and time.monotonic() > self.drained_at + 2.0:
+                self.violations.append(f"{call} sent to a draining engine")
             self.sends[call] += 1
-            self.out[call] = name
+            self.attempts[call] = name
             send = self.stage.party(name).send
-            if wanted == "c":
-                del self.out[call]
+            if expected == "c":
+                del self.attempts[call]
                 send(f"RELEASE {n} 31=17 17=number_busy")
-            elif wanted == "d":
-                front = "cw"[n % 2] + str(n // 2 % 4)
-                self.stage.party(front).send(f"{'CANCEL' if n % 2 == 0 else 'release'} {n}")
+            elif expected == "d":
+                party = "cw"[n % 2] + str(n // 2 % 4)
+                self.stage.party(party).send(f"{'CANCEL' if n % 2 == 0 else 'release'} {n}")
                 self.finish(call, "given up")
             else:
-                self.standing[call] = self.out.pop(call)
+                self.established[call] = self.attempts.pop(call)
                 send("PROGRESS " + str(n))
                 send(f"ANSWER {n} 33=made\x00for{n // 2}")
-                if wanted != "b":
-                    del self.standing[call]
-                    send(f"RELEASE {n} 31={16 if wanted == 'a' else 41}")
+                if expected != "b":
+                    del self.established[call]
+                    send(f"RELEASE {n} 31={16 if expected == 'a' else 41}")
         elif kind == "RELEASE":
             self.releases[call] += 1
-            if (self.out if kind_of(n // 2) == "d" else self.standing).pop(call, None) != name:
-                self.faults.append(f"{call}: a release of nothing")
+            if (self.attempts if kind_of(n // 2) == "d" else self.established).pop(call, None) != name:
+                self.violations.append(f"{call}: release without an attempt or a call")
 
     def check(self):
-        assert not self.faults, self.faults[:5]
-        assert not self.out and not self.standing, (self.out, self.standing)
-        wanted = {
+        assert not self.violations, self.violations[:5]
+        assert not self.attempts and not self.established, (self.attempts, self.established)
+        expected = {
             "a": lambda k: ("stood", f"made\x00for{k}", 16),
             "c": lambda k: ("refused", True),
             "b": lambda k: ("stood", f"made\x00for{k}", "ended by the caller"),
@@ -385,6 +387,6 @@
         }
         for k in range(self.EACH):
             by_sip, by_web = self.done[call_id(2 * k)], self.done[call_id(2 * k + 1)]
-            assert by_sip == by_web == wanted[kind_of(k)](k), (k, by_sip, by_web)
+            assert by_sip == by_web == expected[kind_of(k)](k), (k, by_sip, by_web)
             assert max(self.sends[call_id(2 * k + x)] for x in (0, 1)) <= 3  # attempts, by the settings
         assert Counter(map(kind_of, range(self.EACH))).keys() == KINDS.keys()
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -1,4 +1,4 @@
-"""Daily operation on sockets: management calls, figures, drain, new settings, replacement."""
+"""Operation on real sockets: management requests, metrics, drain, reload of settings, process replacement."""
 
 import json
 import os
@@ -11,11 +11,13 @@
 from support.harness import Stage, call_id, written
 from support.settings import INFO
 
-STAYS = {"limits": INFO["limits"] | {"may_cancel": False}}  # a call that others overtake is not sent anew
+NO_CANCEL = {
+    "limits": INFO["limits"] | {"may_cancel": False}
+}  # pending attempts are not cancelled and resent
 
 
 def figures(stage):
-    """What /v1/metrics says now."""
+    """Returns the current /v1/metrics."""
     stage.parties.pop("m9", None)
     stage.play("m9 send GET /v1/metrics")
     status, _, body = stage.next("m9").split(" ", 2)
@@ -24,7 +26,7 @@
     return json.loads(body)
 
 
-def test_each_management_call_answers_and_closes_its_connection():
+def test_each_management_request_is_answered_and_its_connection_closed():
     with Stage() as s:
         s.play("""
             m0 send GET /v1/readyz
@@ -48,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "answer"),
+    ("request_line", "answer"),
     [
         ("GET /v1/nothing", "404"),
         ("GET /", "404"),
@@ -66,15 +68,15 @@
         ),
     ],
 )
-def test_a_bad_management_call_gets_a_plain_answer_and_changes_nothing(asked, answer):
+def test_an_invalid_management_request_is_answered_and_changes_nothing(request_line, answer):
     with Stage() as s:
-        s.play(f"m0 send {asked}\nm0 expect ^{answer}\nm0 expect end\nc0 send OPTIONS\nc0 expect 200")
+        s.play(f"m0 send {request_line}\nm0 expect ^{answer}\nm0 expect end\nc0 send OPTIONS\nc0 expect 200")
 
 
-def test_silent_operators_never_keep_a_good_one_out_and_are_closed_in_time():
+def test_silent_clients_never_block_others_and_are_closed_in_time():
     with Stage() as s:
         began = time.monotonic()
-        for n in range(100, 140):  # more than may be there at once
+        for n in range(100, 140):  # more than the maximum number of connections
             s.party(f"m{n}")
         s.play(
             "m139 send raw GET /v1/re\nm0 send GET /v1/readyz\nm0 expect 200\nm0 expect end\n"
@@ -83,7 +85,7 @@
         assert time.monotonic() - began < 4.0
 
 
-def test_a_call_in_single_bytes_is_answered_also_to_a_caller_that_closed_its_side():
+def test_a_request_in_single_bytes_is_answered_also_after_the_client_closed_its_sending_side():
     with Stage() as s:
         for byte in "GET /v1/readyz HTTP/1.1\r\nHost: m\r\n\r\n":
             s.party("m0").sock.sendall(byte.encode())
@@ -92,7 +94,7 @@
         s.play("m0 expect 200\nm0 expect end")
 
 
-def test_a_bad_management_address_is_one_plain_line_that_names_the_key():
+def test_an_invalid_management_address_is_reported_in_one_line_with_the_key():
     for at, env in (("here", None), ("", "127.0.0.1:99999"), ("203.0.113.1:80", None)):
         stage = Stage(config={"mgmt": at}, env={"BALANCER_MGMT": env} if env else None)
         assert stage.program.wait(10) == 2
@@ -100,19 +102,19 @@
         stage.__exit__()
 
 
-def test_an_unknown_way_to_hand_over_is_one_plain_line():
+def test_an_unknown_handover_method_is_reported_in_one_line():
     stage = Stage(env={"SOFTSWITCH_HANDOVER": "reuse"})
     assert stage.program.wait(10) == 2
     assert stage.said().count("\n") == 1 and "SOFTSWITCH_HANDOVER" in stage.said(), stage.said()
     stage.__exit__()
 
 
-def test_without_an_address_nothing_listens():
+def test_without_a_management_address_nothing_listens():
     with Stage(config={"mgmt": ""}) as s:
         assert "management" not in s.said()
 
 
-def test_figures_count_each_call_once_whichever_way_it_ends():
+def test_metrics_count_each_call_once_however_it_ends():
     with Stage(engines=1) as s:
         s.play("""
             c0 send INVITE 1
@@ -143,10 +145,11 @@
             c0 send INVITE 7
             e0 expect SET_UP {7}
             """)
-        told = figures(s)
-        # 3 was not answered in time: failed. 4 is of no class, 5 is none. 2 and 6 were given up. 7 is open.
-        assert told["operations"] == {"x": {"fulfilled": 1, "throttled": 0, "faulted": 1}}
-        assert (told["relayed"], told["open_requests"], told["registry_entries"]) == (5, 1, 1)
+        metrics = figures(s)
+        # 3 was not answered in time: failed. 4 is of an unknown class, 5 is invalid. 2 and 6 were abandoned.
+        # 7 is pending.
+        assert metrics["operations"] == {"x": {"fulfilled": 1, "throttled": 0, "faulted": 1}}
+        assert (metrics["relayed"], metrics["open_requests"], metrics["registry_entries"]) == (5, 1, 1)
 
 
 def test_a_draining_engine_is_listed_and_avoided():
@@ -155,8 +158,8 @@
         assert (figures(s)["registry_entries"], figures(s)["out_of_rotation"]) == (2, 1)
 
 
-def test_a_drain_serves_what_still_comes_and_then_closes_connections_as_they_fall_idle():
-    with Stage(settings=STAYS) as s:
+def test_a_drain_serves_late_call_setups_and_then_closes_connections_as_they_become_idle():
+    with Stage(settings=NO_CANCEL) as s:
         s.play(
             """
             c0 send INVITE 1 X-Patience=8000
@@ -177,7 +180,7 @@
             e0 expect SET_UP {3}
             e0 send ANSWER 3 33=d
             c0 expect 200 .*Call-ID: {3}
-            BEATS
+            STATE_REPORTS
             c0 send INVITE 4
             c0 expect SIP/2.0 503 .*Call-ID: {4}
             e0 send ANSWER 1 33=d
@@ -185,7 +188,7 @@
             e0 send RELEASE 2 31=16
             c0 expect ^BYE .*Call-ID: {2}
             c0 send raw SIP/2.0 200 OK\\r\\nCall-ID: {2}\\r\\nCSeq: 2 BYE\\r\\nContent-Length: 0\\r\\n\\r\\n
-            BEATS
+            STATE_REPORTS
             c0 expect end
             e0 send RELEASE 3 31=16
             e0 wait 50
@@ -197,17 +200,22 @@
             c3 send raw SIP/2.0 200 OK\\r\\nCall-ID: {3}\\r\\nCSeq: 2 BYE\\r\\nContent-Length: 0\\r\\n\\r\\n
             m1 send POST /v1/softswitch/activate
             m1 expect 200
-            """.replace("BEATS", 8 * "e0 send STATE 0 21=x0:9;x1:9\ne0 wait 280\n")
+            """.replace("STATE_REPORTS", 8 * "e0 send STATE 0 21=x0:9;x1:9\ne0 wait 280\n")
         )
-        s.play("c4 send OPTIONS\nc4 expect 200\nc4 wait 300\nc4 send INVITE 5")  # held, or sent: not refused
+        s.play(
+            "c4 send OPTIONS\nc4 expect 200\nc4 wait 300\nc4 send INVITE 5"
+        )  # queued or sent, but not rejected
         s.play("c4 expect nothing 100")
 
 
 LANE = {"name": "x", "aim": 1500.0, "credit": 1.0, "late_value": 0.25, "hard_limit": 9000.0}
 
 
-def settled(stage, settings):
-    """Replaces the settings in the file, sends SIGHUP and waits until it was taken in or turned down."""
+def reload_settings(stage, settings):
+    """Replaces the settings in the file, sends SIGHUP, and waits until they were accepted or rejected.
+
+    Returns how many configurations were accepted and rejected.
+    """
     before = figures(stage)
     stage.play("p config " + json.dumps(stage.made | {"settings": settings}))
     until = time.monotonic() + 3
@@ -218,14 +226,14 @@
     return now["cfg_accepted"] - before["cfg_accepted"], now["cfg_invalid"] - before["cfg_invalid"]
 
 
-def test_classes_appear_and_vanish_under_way_and_a_call_keeps_the_one_it_came_with():
+def test_classes_are_added_and_removed_at_a_reload_and_a_call_keeps_its_class():
     with Stage(engines=1) as s:
         s.play(
             "c0 send INVITE 1 X-Patience=9000\ne0 expect SET_UP {1}\nc0 send INVITE 2 Subject=y\n"
             "c0 expect SIP/2.0 503"
         )
         lanes = [LANE | {"name": "y"}]
-        assert settled(s, INFO | {"lanes": lanes}) == (1, 0)
+        assert reload_settings(s, INFO | {"lanes": lanes}) == (1, 0)
         s.play("""
             c0 send INVITE 3 Subject=y
             e0 expect SET_UP {3} 3=y
@@ -242,18 +250,18 @@
         }
 
 
-def test_fewer_attempts_bind_calls_under_way_too():
+def test_a_lower_attempt_limit_applies_to_calls_in_progress_too():
     with Stage() as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}")
-        assert settled(s, INFO | {"limits": INFO["limits"] | {"send_cap": 1}}) == (1, 0)
+        assert reload_settings(s, INFO | {"limits": INFO["limits"] | {"send_cap": 1}}) == (1, 0)
         s.play("e0 send RELEASE 1 31=34 17=all_trunks_busy\nc0 expect SIP/2.0 503\ne1 expect nothing 100")
 
 
-def test_a_stricter_effect_holds_for_new_calls_and_not_for_one_under_way():
+def test_a_class_that_is_no_longer_idempotent_affects_new_calls_only():
     lane = LANE | {"idempotency": "read_like"}
     with Stage(settings={"lanes": [lane]}) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}")
-        assert settled(s, INFO | {"lanes": [lane | {"idempotency": "non_idempotent"}]}) == (1, 0)
+        assert reload_settings(s, INFO | {"lanes": [lane | {"idempotency": "non_idempotent"}]}) == (1, 0)
         s.play("""
             c0 send INVITE 2
             e0 expect SET_UP {2}
@@ -267,7 +275,7 @@
         )
 
 
-def test_a_file_that_is_not_whole_changes_nothing_and_its_line_names_the_key():
+def test_invalid_settings_change_nothing_and_the_log_line_names_the_key():
     lanes, limits = [LANE], INFO["limits"]
     bad = {
         "settings.lanes[0].hard_limit: 'soon'": {"lanes": [LANE | {"hard_limit": "soon"}]},
@@ -285,23 +293,24 @@
         "settings.limits.send_cap is missing": {"limits": {k: limits[k] for k in limits if k != "send_cap"}},
         "settings.rules.cold_from: 2": {"rules": INFO["rules"] | {"cold_from": 2}},
     }
-    for part in (list(bad.items())[:6], list(bad.items())[6:]):  # of one kind, ten lines in ten seconds
+    # In two halves: the log rate limit allows ten lines of one place in ten seconds.
+    for half in (list(bad.items())[:6], list(bad.items())[6:]):
         with Stage(engines=1) as s:
-            for line, change in part:
-                assert settled(s, INFO | {"lanes": lanes} | change) == (0, 1), line
+            for line, change in half:
+                assert reload_settings(s, INFO | {"lanes": lanes} | change) == (0, 1), line
                 assert line in s.said(), (line, s.said())
 
 
-def test_a_file_that_is_cut_or_lacks_a_part_leaves_board_list_and_settings_alone():
+def test_a_truncated_or_incomplete_file_changes_neither_watch_server_nor_settings():
     with Stage(engines=1) as s:
         s.play("b expect after 3")
-        whole = json.dumps(s.made)
+        complete = json.dumps(s.made)
         texts = [
             "",
-            whole[: len(whole) // 2],
+            complete[: len(complete) // 2],
             "[]",
-            whole.replace("9000.0", "NaN"),
-            whole.replace("9000.0", "1e999"),
+            complete.replace("9000.0", "NaN"),
+            complete.replace("9000.0", "1e999"),
             json.dumps({k: v for k, v in s.made.items() if k != "board"}),
             json.dumps(s.made | {"settings": None, "board": "127.0.0.1:9"}),
         ]
@@ -314,7 +323,7 @@
         assert figures(s)["cfg_accepted"] == 0
 
 
-def test_two_reloads_at_once_and_one_while_drained_keep_the_lifecycle():
+def test_two_reloads_at_once_while_drained_do_not_change_the_phase():
     with Stage(engines=1) as s:
         s.play(
             "m0 send POST /v1/softswitch/drain\nm0 expect 200\np send SIGHUP\np send SIGHUP\np wait 100\n"
@@ -324,7 +333,7 @@
         assert 1 <= figures(s)["cfg_accepted"] <= 2
 
 
-def test_sigterm_while_drained_ends_in_good_order_and_activate_then_is_refused():
+def test_sigterm_while_drained_completes_calls_and_rejects_activate():
     with Stage() as s:
         s.play("""
             c0 send INVITE 1
@@ -343,15 +352,15 @@
             """)
 
 
-class Replaced(Stage):
-    """A second process takes over from the first, with a management address of its own."""
+class ReplacementStage(Stage):
+    """A second process replaces the first and has a management address of its own."""
 
-    def __init__(self, below="", **more):
+    def __init__(self, subdirectory="", **more):
         super().__init__(env={"TMPDIR": ""}, **more)
         self.old = self.program
         self.old.kill()
         self.old.wait()
-        self.env["TMPDIR"] = os.path.join(self.dir.name, below)
+        self.env["TMPDIR"] = os.path.join(self.dir.name, subdirectory)
         os.makedirs(self.env["TMPDIR"], exist_ok=True)
         self.old = self.start()
 
@@ -363,7 +372,7 @@
         return self.start({"BALANCER_MGMT": written(self.mgmt)})
 
     def start_after_stop(self):
-        """Stops the process, and starts the one that is to be replaced."""
+        """Stops the first process and starts the one that will be replaced."""
         self.old.send_signal(signal.SIGTERM)
         until = time.monotonic() + 6
         while self.old.poll() is None:
@@ -373,14 +382,15 @@
         self.parties.clear()
         self.old = self.start()
 
-    def keep_link(self):
-        """The new process's connection to e0 is e2 from now on.
+    def rename_new_link(self):
+        """Renames the new process's connection to the engine from e0 to e2.
 
-        As the old one ends, it opens one more, which is e0 then: an engine may have four.
+        When the old process ends, the new one opens another connection, which is then e0: an engine may have
+        four.
         """
         self.parties["e2"] = self.parties.pop("e0")
 
-    def ready(self):
+    def wait_until_ready(self):
         until = time.monotonic() + 6
         while True:
             self.parties.pop("m8", None)
@@ -390,7 +400,7 @@
             assert time.monotonic() < until, self.said()
             time.sleep(0.02)
 
-    def heard(self, line):
+    def wait_for_log(self, line):
         until = time.monotonic() + 3
         while line not in self.said():
             assert time.monotonic() < until, self.said()
@@ -403,16 +413,16 @@
         super().__exit__(*of)
 
 
-def test_the_next_process_takes_over_and_releases_reach_calls_of_either():
-    with Replaced(engines=1, settings=STAYS) as s:
+def test_the_successor_takes_over_and_releases_reach_calls_of_both_processes():
+    with ReplacementStage(engines=1, settings=NO_CANCEL) as s:
         for n in (1, 2, 3):
             s.play(f"c0 send INVITE {n}\ne0 expect SET_UP {{{n}}}\ne0 send ANSWER {n} 33=d\nc0 expect 200")
         s.play("c0 send INVITE 4 X-Patience=5000\ne0 expect SET_UP {4}")
         old_engine = s.parties.pop("e0")
         s.replace()
-        s.ready()
-        s.parties["e1"] = old_engine  # what the old process opened; e0 is the new one's
-        s.heard("the next process takes the callers")
+        s.wait_until_ready()
+        s.parties["e1"] = old_engine  # opened by the old process; e0 is opened by the new one
+        s.wait_for_log("the next process takes the callers")
         s.play("""
             c1 send INVITE 5
             e0 expect SET_UP {5}
@@ -430,7 +440,7 @@
             e1 send RELEASE 2 31=16
             c1 expect nothing 100
             """)
-        s.keep_link()
+        s.rename_new_link()
         s.old.send_signal(signal.SIGTERM)
         s.play("""
             c0 wait 150
@@ -449,18 +459,18 @@
             e1 send RELEASE 3 31=16
             c1 expect ^BYE .*Call-ID: {3}
             """)
-        assert s.old.wait(2) == 0  # early: nothing is left there
+        assert s.old.wait(2) == 0  # before the deadline: it has no calls or callers any more
         s.play("c2 send INVITE 7\ne2 expect SET_UP {7}")
 
 
-def test_a_release_that_was_not_acknowledged_goes_to_callers_of_the_next_process():
-    with Replaced(engines=1, settings=STAYS) as s:
+def test_an_unacknowledged_release_goes_to_callers_of_the_successor():
+    with ReplacementStage(engines=1, settings=NO_CANCEL) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200")
         old_engine = s.parties.pop("e0")
         s.replace()
-        s.ready()
+        s.wait_until_ready()
         s.parties["e1"] = old_engine
-        s.heard("the next process takes the callers")
+        s.wait_for_log("the next process takes the callers")
         s.play("""
             c1 send INVITE 2
             e0 expect SET_UP {2}
@@ -474,78 +484,82 @@
             """)
 
 
-def test_a_successor_that_dies_gives_the_callers_back():
-    with Replaced(engines=1) as s:
+def test_callers_return_to_the_old_process_when_the_successor_dies():
+    with ReplacementStage(engines=1) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}")
         new = s.replace()
-        s.ready()
+        s.wait_until_ready()
         new.kill()
         new.wait()
         s.parties.pop("e0", None)
-        s.heard("taken here again")
+        s.wait_for_log("taken here again")
         s.play("c1 send OPTIONS\nc1 expect 200")
 
 
-@pytest.mark.parametrize("told_to", ["old", "new"])
-def test_a_release_of_the_process_before_both_reaches_its_caller_during_a_replacement(told_to):
-    """A call of a process that has ended; the next one is being replaced in its turn.
+@pytest.mark.parametrize("receiver", ["old", "new"])
+def test_an_engine_release_for_an_earlier_process_reaches_the_caller_during_a_replacement(receiver):
+    """Guards against a release that is lost between two processes that both do not know the call.
 
-    Whichever of the two hears the engine's release knows no such call and passed it to the other, which knew
-    none either and dropped it: the caller was never told. The soak's seed 4 showed it (25 s): 16 releases
-    not passed on within 8 s, `passed to the other process` 85 at the old process, `late releases` 16 at the
-    new one.
+    The call belongs to a process that has ended, and its successor is being replaced too. The process that
+    received the engine's release passed it to the other one, which dropped it: the caller was never notified.
+    The soak's seed 4 showed it (25 s): 16 releases not passed on within 8 s, `passed to the other process`
+    85 at the old process, `late releases` 16 at the new one.
     """
-    with Replaced(engines=1, settings=STAYS) as s:
+    with ReplacementStage(engines=1, settings=NO_CANCEL) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200")
         s.start_after_stop()
         s.play("c1 send INVITE 2\ne0 expect SET_UP {2}\ne0 send ANSWER 2 33=d\nc1 expect 200")
         s.parties["e1"] = s.parties.pop("e0")
         s.replace()
-        s.ready()
-        s.heard("the next process takes the callers")
-        s.play(f"{'e1' if told_to == 'old' else 'e0'} send RELEASE 1 31=16\nc1 expect ^BYE .*Call-ID: {{1}}")
+        s.wait_until_ready()
+        s.wait_for_log("the next process takes the callers")
+        s.play(f"{'e1' if receiver == 'old' else 'e0'} send RELEASE 1 31=16\nc1 expect ^BYE .*Call-ID: {{1}}")
 
 
-def test_a_caller_that_ends_a_call_of_the_process_before_both_ends_it_at_its_engine():
-    with Replaced(engines=1, settings=STAYS) as s:
+def test_a_caller_release_for_an_earlier_process_reaches_the_engine_during_a_replacement():
+    with ReplacementStage(engines=1, settings=NO_CANCEL) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200")
         s.start_after_stop()
         s.play("c1 send OPTIONS\nc1 expect 200\ne0 wait 50")
         s.parties["e1"] = s.parties.pop("e0")
         s.replace()
-        s.ready()
-        s.heard("the next process takes the callers")
+        s.wait_until_ready()
+        s.wait_for_log("the next process takes the callers")
         s.play("c2 send BYE 1\nc2 expect 200")
-        told = [s.next(engine, 1.0) for engine in ("e0", "e1")]
-        assert any(said is not None and said.startswith(f"RELEASE {call_id(1)}") for said in told), told
+        received = [s.next(engine, 1.0) for engine in ("e0", "e1")]
+        assert any(
+            message is not None and message.startswith(f"RELEASE {call_id(1)}") for message in received
+        ), received
 
 
-def test_a_release_that_the_old_process_left_unread_is_fetched_by_the_new_one():
-    """An engine writes the release to the connection of its set-up, which goes down unread with its process.
+def test_a_release_that_the_old_process_left_unread_reaches_the_new_one():
+    """Guards against a release that is lost in a connection which closes unread with the old process.
 
-    It sends it on the next connection that is opened as well, but the new process has had its own for long,
-    and opened none. The soak met it once in 44,932 releases (seed 42): a call of a process that was
-    replaced, released as that process came to its end.
+    An engine writes a release to the connection of the call setup, and again on the next connection that is
+    opened. The new process had opened its connection long before and opened no other. The soak showed it
+    once in 44,932 releases (seed 42): a call of a replaced process, released while that process ended.
     """
-    with Replaced(engines=1, settings=STAYS) as s:
+    with ReplacementStage(engines=1, settings=NO_CANCEL) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200")
         s.parties["e1"] = s.parties.pop("e0")
         s.replace()
-        s.ready()
-        s.heard("the next process takes the callers")
+        s.wait_until_ready()
+        s.wait_for_log("the next process takes the callers")
         s.play("c1 send INVITE 2\ne0 expect SET_UP {2}\ne0 send ANSWER 2 33=d\nc1 expect 200")
         s.old.send_signal(signal.SIGSTOP)
         s.play("e1 send RELEASE 1 31=16")
-        s.keep_link()
+        s.rename_new_link()
         s.old.kill()
         killed = time.monotonic()
         s.play("e0 send RELEASE 1 31=16\nc1 expect ^BYE .*Call-ID: {1}")
-        assert time.monotonic() - killed < 1.0  # later the new process finds its own connection silent here
+        assert (
+            time.monotonic() - killed < 1.0
+        )  # after that, the new process would reopen its silent connection anyway
 
 
-def test_no_connection_is_lost_at_the_door_while_the_process_is_replaced():
-    # counts callers that are refused, reset or closed with no answer, connecting without pause
-    with Replaced() as s:
+def test_no_connection_is_refused_or_reset_while_the_process_is_replaced():
+    # Counts connections that are refused, reset or closed without an answer; clients connect without pause.
+    with ReplacementStage() as s:
         new, lost, count = s.replace(), 0, 0
         until, termed = time.monotonic() + 4.0, False
         while time.monotonic() < until:
@@ -566,43 +580,43 @@
         assert count > 200 and lost == 0, (lost, count)
 
 
-def test_a_process_is_replaced_though_the_path_of_its_tmpdir_is_long():
-    """The address of a Unix socket holds 107 bytes. Beyond 100 the handover was not offered ('handover: not
-    offered: path too long'), and the next process ended with 'Address already in use'.
+def test_a_process_can_be_replaced_with_a_long_tmpdir_path():
+    """The address of a Unix socket holds 107 bytes. With a path of over 100, the handover was not offered
+    ('handover: not offered: path too long'), and the successor ended with 'Address already in use'.
     """
-    with Replaced(below=100 * "x", engines=1, settings=STAYS) as s:
+    with ReplacementStage(subdirectory=100 * "x", engines=1, settings=NO_CANCEL) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200")
         s.parties["e1"] = s.parties.pop("e0")
         s.replace()
-        s.ready()
-        s.heard("the next process takes the callers")
+        s.wait_until_ready()
+        s.wait_for_log("the next process takes the callers")
         assert "not offered" not in s.said()
         s.play("e1 send RELEASE 1 31=16\nc0 expect ^BYE .*Call-ID: {1}\nc0 send OK 1")
-        s.keep_link()
+        s.rename_new_link()
         s.old.send_signal(signal.SIGTERM)
         assert s.old.wait(6) == 0
         s.play("c1 send INVITE 2\ne2 expect SET_UP {2}")
 
 
-@pytest.mark.parametrize("what", ["stale", "mute", "long", "missing"])
-def test_without_a_predecessor_that_answers_the_start_is_a_plain_one(what):
+@pytest.mark.parametrize("case", ["stale", "mute", "long", "missing"])
+def test_without_an_answering_predecessor_the_process_starts_normally(case):
     stage = Stage()
     stage.program.kill()
     stage.program.wait()
-    where = stage.dir.name + {"long": "/" + 100 * "x", "missing": "/none"}.get(what, "")
-    if what != "missing":
-        os.makedirs(where, exist_ok=True)
-    kept = socket.socket(socket.AF_UNIX)
-    if what in ("stale", "mute"):
-        kept.bind(f"{where}/willowhitch-{stage.sip[0]}-{stage.sip[1]}.1")
-    if what == "mute":
-        kept.listen(4)
-    stage.env["TMPDIR"] = where
+    directory = stage.dir.name + {"long": "/" + 100 * "x", "missing": "/none"}.get(case, "")
+    if case != "missing":
+        os.makedirs(directory, exist_ok=True)
+    unix_socket = socket.socket(socket.AF_UNIX)
+    if case in ("stale", "mute"):
+        unix_socket.bind(f"{directory}/willowhitch-{stage.sip[0]}-{stage.sip[1]}.1")
+    if case == "mute":
+        unix_socket.listen(4)
+    stage.env["TMPDIR"] = directory
     stage.start()
     with stage as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}")
-        assert ("not offered" in s.said()) == (what == "missing")
-    kept.close()
+        assert ("not offered" in s.said()) == (case == "missing")
+    unix_socket.close()
 
 
 INVITE = (
@@ -611,8 +625,8 @@
 )
 
 
-def test_a_set_up_on_a_new_connection_may_take_over_two_seconds_as_long_as_it_keeps_coming():
-    # among a crowd that says nothing, or stops half way, with no descriptor to spare
+def test_a_first_message_may_take_over_two_seconds_while_its_data_keeps_coming():
+    # The other connections are silent or stop half-way, and no descriptor is free.
     with Stage(engines=1, config={"limits": {"sockets": 64, "memory_mb": 64}}) as s:
         slow, text = s.party("c1").sock, INVITE.format(1).encode()
         crowd, began = [], time.monotonic()
@@ -621,7 +635,7 @@
             if n % 12 == 0:
                 crowd.append(socket.create_connection(s.sip))
                 crowd[-1].sendall(b"INVITE sip:7@net SIP/2.0\r\nVia" if n % 24 else b"")
-            s.play("e0 send STATE 0 21=x0:9;x1:9\nc1 wait 90")  # a link with no beat is given up
+            s.play("e0 send STATE 0 21=x0:9;x1:9\nc1 wait 90")  # a link without state reports is closed
         assert time.monotonic() - began > 2.2
         assert len(crowd) > 12
         s.play("e0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc1 expect 200 .*Call-ID: {1}")
@@ -629,14 +643,14 @@
             other.close()
 
 
-def test_a_first_message_that_stops_coming_is_told_so_within_three_seconds():
+def test_a_stalled_first_message_is_answered_408_within_three_seconds():
     with Stage() as s:
         began = time.monotonic()
         s.play("c0 send raw INVITE sip:7@net SIP/2.0\\r\\nVia: x\nc0 expect SIP/2.0 408\nc0 expect end")
         assert 1.9 < time.monotonic() - began < 3.0
 
 
-def test_single_bytes_on_every_wire():
+def test_single_bytes_on_every_connection():
     def trickle(party, data, pause=0.004):
         for n in range(len(data)):
             party.sock.sendall(data[n : n + 1])
@@ -651,19 +665,19 @@
         trickle(s.party("b"), struct.pack(">I", len(frame)) + frame)
         trickle(s.party("c0"), INVITE.format(1).encode())
         s.play("e0 expect SET_UP {1}")
-        said = struct.pack(">B", 9) + bytes.fromhex(f"{1:016x}") + struct.pack(">BH", 33, 200) + 200 * b"d"
-        trickle(s.party("e0"), struct.pack(">H", len(said)) + said)  # 0.9 s in all
+        answer = struct.pack(">B", 9) + bytes.fromhex(f"{1:016x}") + struct.pack(">BH", 33, 200) + 200 * b"d"
+        trickle(s.party("e0"), struct.pack(">H", len(answer)) + answer)  # 0.9 s in all
         s.play("c0 expect 200 .*d{200,200}$")
         assert "cut short" not in s.said()
         assert "bad frame" not in s.said()
 
 
-def test_an_answer_in_pieces_for_longer_than_a_silent_link_is_kept_is_read_to_its_end():
+def test_a_slow_answer_is_read_to_its_end_although_it_exceeds_the_silence_timeout():
     with Stage(engines=1) as s:
         s.play("c0 send INVITE 1 X-Patience=8000\ne0 expect SET_UP {1}")
-        said = struct.pack(">B", 9) + bytes.fromhex(f"{1:016x}") + struct.pack(">BH", 33, 200) + 200 * b"d"
-        for byte in struct.pack(">H", len(said)) + said:
+        answer = struct.pack(">B", 9) + bytes.fromhex(f"{1:016x}") + struct.pack(">BH", 33, 200) + 200 * b"d"
+        for byte in struct.pack(">H", len(answer)) + answer:
             s.party("e0").sock.sendall(bytes((byte,)))
-            time.sleep(0.012)  # 2.5 s in all; 2.1 s without a message were taken for silence
+            time.sleep(0.012)  # 2.5 s in all; 2.1 s without a complete message used to count as silence
         s.play("c0 expect 200 .*d{200,200}$")
-        assert "connection closed" not in s.said()  # the link's; the board is silent here
+        assert "connection closed" not in s.said()  # of the engine link; the watch server sends nothing here
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -1,4 +1,4 @@
-"""Telemetry against a stand-in collector; the agent and its command line against real softswitches."""
+"""Telemetry with a stand-in collector; the agent and its command line with real softswitches."""
 
 import os
 import signal
@@ -18,7 +18,7 @@
 
 
 class Collector(HTTPServer):
-    """Keeps what it was sent. `slow`: it takes the request and is silent."""
+    """Stores the exports that it receives; answers each after `slow` seconds."""
 
     def __init__(self, slow=0.0):
         got, self.got = [], []
@@ -43,7 +43,7 @@
         return f"http://127.0.0.1:{self.server_address[1]}"
 
     def latest(self):
-        """Metrics of the newest export, by name."""
+        """Returns the metrics of the latest export, by name."""
         _, request = self.got[-1]
         return {m.name: m for r in request.resource_metrics for s in r.scope_metrics for m in s.metrics}
 
@@ -70,34 +70,35 @@
                 s.play(CALL.format(n=n))
             s.play("p send SIGTERM\np expect 0")
         collector.shutdown()
-        told = collector.latest()
+        metrics = collector.latest()
         counts = {
-            p.attributes[0].value.string_value: p.as_int for p in told["willowhitch.events"].sum.data_points
+            p.attributes[0].value.string_value: p.as_int
+            for p in metrics["willowhitch.events"].sum.data_points
         }
         assert collector.got[-1][0] == "/v1/metrics"
         assert (counts["set-ups"], counts["stood"], counts["ended"]) == (3, 3, 3)
-        for what in ("set-up", "call"):
-            (point,) = told[f"willowhitch.{what}.duration"].histogram.data_points
+        for duration in ("set-up", "call"):
+            (point,) = metrics[f"willowhitch.{duration}.duration"].histogram.data_points
             assert point.count == 3
             assert 0 <= point.sum < 5000
-        name = collector.got[-1][1].resource_metrics[0].resource.attributes
-        assert {a.key: a.value.string_value for a in name}["service.instance.id"] == "n0"
+        attributes = collector.got[-1][1].resource_metrics[0].resource.attributes
+        assert {a.key: a.value.string_value for a in attributes}["service.instance.id"] == "n0"
 
-    def test_a_collector_that_is_down_or_hangs_holds_nothing_up(self):
+    def test_a_collector_that_is_down_or_hangs_delays_no_calls(self):
         hangs = Collector(slow=30.0)
         for endpoint in ("http://127.0.0.1:9", hangs.url):
             with self.subTest(endpoint), Stage(env=telemetry(endpoint)) as s:
-                until, n, worst = time.monotonic() + 2.5, 0, 0.0
+                until, n, max_duration = time.monotonic() + 2.5, 0, 0.0
                 while time.monotonic() < until:
                     n, began = n + 1, time.monotonic()
                     s.play(CALL.format(n=n))
-                    worst = max(worst, time.monotonic() - began)
-                assert n > 50 and worst < 0.5, (n, worst)
-                assert s.said().count("telemetry") <= 1, s.said()  # one line a minute
+                    max_duration = max(max_duration, time.monotonic() - began)
+                assert n > 50 and max_duration < 0.5, (n, max_duration)
+                assert s.said().count("telemetry") <= 1, s.said()  # at most one line per minute
                 s.play("p send SIGTERM")
                 assert s.program.wait(10) == 0
 
-    def test_off_unless_configured_and_a_bad_address_is_one_plain_line(self):
+    def test_off_unless_configured_and_an_invalid_address_is_reported_in_one_line(self):
         with Stage() as s:
             maps = Path(f"/proc/{s.program.pid}/maps").read_text()
             assert "opentelemetry" not in maps
@@ -108,11 +109,13 @@
 
 
 class Supervision(unittest.TestCase):
-    """An agent with two softswitches, spoken to by the command line's own functions."""
+    """An agent with two softswitches, controlled through the functions of the command line."""
 
     def setUp(self):
         self.stages = [Stage(), Stage()]
-        for stage in self.stages:  # their configurations and stand-ins serve; the agent starts the programs
+        for (
+            stage
+        ) in self.stages:  # only their configurations and stand-ins are used; the agent starts the programs
             stage.program.kill()
             stage.program.wait()
         self.dir = tempfile.TemporaryDirectory()
@@ -141,41 +144,41 @@
         self.log.close()
         self.dir.cleanup()
 
-    def until(self, wanted, seconds=12.0):
-        """Asks for the status until it fits."""
+    def until(self, condition, seconds=12.0):
+        """Polls the agent's status until the condition holds."""
         end, last = time.monotonic() + seconds, None
         while time.monotonic() < end:
             try:
                 last = {i["name"]: i for i in cli.ask(self.socket, "status", None)["instances"]}
-                if wanted(last):
+                if condition(last):
                     return last
             except (OSError, ValueError):
                 pass
             time.sleep(0.05)
         raise AssertionError(f"{last}\n{Path(self.log.name).read_text()}")
 
-    def serving(self, *ks):
+    def check_serving(self, *ks):
         for k in ks:
             self.stages[k].parties.clear()
             self.stages[k].program = self.agent
             self.stages[k].play("c0 send OPTIONS\nc0 expect 200 OK")
 
-    def test_starts_restarts_with_back_off_drains_and_ends(self):
+    def test_agent_starts_restarts_with_back_off_drains_and_stops(self):
         first = self.until(lambda s: all(i["state"] == "running" for i in s.values()))
-        self.serving(0, 1)
-        os.kill(first["n0"]["pid"], signal.SIGKILL)  # a crash: started again after a wait
+        self.check_serving(0, 1)
+        os.kill(first["n0"]["pid"], signal.SIGKILL)  # after a crash it is started again with a delay
         self.until(lambda s: s["n0"]["state"] == "waiting")
-        again = self.until(lambda s: s["n0"]["state"] == "running")
-        assert again["n0"]["pid"] != first["n0"]["pid"]
-        assert again["n1"]["pid"] == first["n1"]["pid"]
-        self.serving(0)
+        restarted = self.until(lambda s: s["n0"]["state"] == "running")
+        assert restarted["n0"]["pid"] != first["n0"]["pid"]
+        assert restarted["n1"]["pid"] == first["n1"]["pid"]
+        self.check_serving(0)
         assert cli.main(["restart", "n1", "--socket", self.socket]) == 0
         self.until(lambda s: s["n1"]["state"] == "draining")
         new = self.until(lambda s: s["n1"]["state"] == "running")
         assert new["n1"]["pid"] != first["n1"]["pid"]
         assert new["n1"]["starts"] == 2
         assert cli.main(["reload", "n1", "--socket", self.socket]) == 0
-        self.agent.send_signal(signal.SIGHUP)  # the agent lives on and passes it to all
+        self.agent.send_signal(signal.SIGHUP)  # the agent forwards SIGHUP to all instances and continues
         end = time.monotonic() + 8.0
         while Path(self.log.name).read_text().count("configuration reloaded") < 2:
             assert time.monotonic() < end, Path(self.log.name).read_text()
@@ -192,14 +195,14 @@
         assert "draining all" in log
         assert "Traceback" not in log
 
-    def test_the_wait_doubles_for_one_that_ends_at_once(self):
+    def test_the_restart_delay_doubles_for_an_instance_that_exits_at_once(self):
         self.stages[0].config.write_text("{}")
         began = time.monotonic()
         self.until(lambda s: s["n0"]["starts"] >= 3)
-        assert time.monotonic() - began > 1.4  # half a second, then one
+        assert time.monotonic() - began > 1.4  # the first delay is 0.5 s, the second 1 s
         self.until(lambda s: s["n1"]["state"] == "running")
 
-    def test_a_bad_file_or_a_bad_message_is_one_plain_line(self):
+    def test_an_invalid_file_or_message_is_reported_in_one_line(self):
         for text in (
             "",
             'socket = "s"',
