--- a/softswitch/net/sip_calls.py
+++ b/softswitch/net/sip_calls.py
@@ -62,7 +62,7 @@
     ) -> None:
         self.run = run
         self.counter = CountFamily.SIP_REQUESTS + name
-        self.sent_by_callers = sent_by_callers  # False: health checks send it too
+        self.sent_by_callers = sent_by_callers  # and not by health checks: it shows that a caller is active
         self.answered_at_once = answered_at_once  # False: answered later (INVITE), or never (ACK, NOTIFY)
 
 
