--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -147,7 +147,7 @@
     def leave_as_gone(old):
         def leave(self, now):
             self.leaving = True
-            self._speak(now, state=State.GONE)
+            self._update_own_record(now, state=State.GONE)
             return []
 
         return leave
@@ -185,30 +185,32 @@
     def ping_wrong(old):
         def ping(self, key, seq):
             old(self, key, seq)
-            said = self.acts[-1]
-            self.acts[-1] = Send(said.to, msgspec.structs.replace(said.message, to=self.me.key))
+            said = self.actions[-1]
+            self.actions[-1] = Send(said.to, msgspec.structs.replace(said.message, to=self.me.key))
 
         return ping
 
     return {
         "an older word overrides a newer one": lambda: patch(Table, "put", merge_any),
         "an ended life comes back without a new incarnation": lambda: patch(Table, "put", ended_revives),
-        "nobody takes back what is said of it": lambda: patch(Member, "_of_me", no_refute),
-        "taken back in the same incarnation": lambda: patch(Member, "_of_me", refute_same),
-        "suspicions are dropped, nobody is gone": lambda: patch(Member, "_suspicion_over", never_confirm),
+        "nobody takes back what is said of it": lambda: patch(Member, "_refute", no_refute),
+        "taken back in the same incarnation": lambda: patch(Member, "_refute", refute_same),
+        "suspicions are dropped, nobody is gone": lambda: patch(Member, "_suspicion_expired", never_confirm),
         "gone at the first missed probe": lambda: patch(Member, "_accuse", gone_at_once),
-        "a standstill of one's own goes unseen": lambda: patch(Member, "_stood_still", no_standstill),
-        "a minority calls the others gone": lambda: patch(Member, "_majority", no_majority),
+        "a standstill of one's own goes unseen": lambda: patch(
+            Member, "_compensate_for_stall", no_standstill
+        ),
+        "a minority calls the others gone": lambda: patch(Member, "_check_majority", no_majority),
         "who is gone is never tried again": lambda: patch(Member, "_retry", no_retry),
-        "no news on the back of probes": lambda: patch(Member, "_news", no_news),
+        "no news on the back of probes": lambda: patch(Member, "_updates_for", no_news),
         "no exchanges after joining": lambda: patch(Member, "_exchange", no_exchange),
         "exchanges that find no difference": lambda: patch(Table, "differing", digest_blind),
         "a planned stop says nothing": lambda: patch(Member, "leave", no_leave),
         "a planned stop says that it is gone, to nobody": lambda: patch(Member, "leave", leave_as_gone),
         "only the first member is probed": lambda: patch(Member, "_next_target", first_only),
-        "any answer ends a probe": lambda: patch(Member, "_acked", ack_all),
+        "any answer ends a probe": lambda: patch(Member, "_ack_received", ack_all),
         "ended members are forgotten at once": lambda: patch(Table, "put", forget_ended),
-        "a new own incarnation is 1": lambda: patch(Member, "_speak", incarnation_falls),
+        "a new own incarnation is 1": lambda: patch(Member, "_update_own_record", incarnation_falls),
         "probes name the wrong member": lambda: patch(Member, "_ping", ping_wrong),
         "no helpers are asked": lambda: patch(code, "HELPERS", lambda old: 0),
         "suspicion lasts no time": lambda: patch(code, "CONFIRMATIONS", lambda old: 0.0001),
@@ -271,29 +273,29 @@
         if not hasattr(self, "missed"):
             self.missed, self.round_at = {}, now
         if now >= self.round_at and not self.leaving:
-            self.round_at = now + self.times.period
+            self.round_at = now + self.periods.period
             for key in self._others((State.JOINING, State.ALIVE, State.SUSPECT)):
                 self.missed[key] = self.missed.get(key, 0) + 1
                 if self.missed[key] > 3:
                     record = self.table.records[key]
                     self._merge(now, (msgspec.structs.replace(record, state=State.GONE),))
                 else:
-                    self.acts.append(
+                    self.actions.append(
                         Send(self.table.records[key].address, Ping(self._head(), self._next_seq(), key))
                     )
         if now >= self.next_retry:
-            self.next_retry = now + self.times.retry
+            self.next_retry = now + self.periods.retry
             self._retry(now)
-        self.expected = now
-        return self._take()
+        self.next_tick_due = now
+        return self._take_actions()
 
     def next_at(self):
         return min(getattr(self, "round_at", 0.0), self.next_retry)
 
-    def heard(self, now, message):
+    def datagram_received(self, now, message):
         if hasattr(message, "head") and hasattr(self, "missed"):
             self.missed[message.head.me.key] = 0
-        return super().heard(now, message)
+        return super().datagram_received(now, message)
 
 
 class Hasty(Member):
--- a/softswitch/fleet/member.py
+++ b/softswitch/fleet/member.py
@@ -79,26 +79,26 @@
     """An exchange over the second path: `said` goes out, and what comes back is given to `heard_back`."""
 
     to: str
-    said: Compare
+    request: Compare
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class MemberChanged:
     """What is known of a member changed. `was` is None for a new one."""
 
     record: Record
-    was: State | None
+    previous_state: State | None
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class Notice:
     """For operators: `what` is one of 'accused', 'cut off', 'sees a majority', 'name taken', 'refused'."""
 
-    what: str
-    why: str
+    event: str
+    details: str
 
 
-Action = Send | Exchange | Changed | Told
+Action = Send | Exchange | MemberChanged | Notice
 
 
 @dataclass(slots=True)
@@ -153,14 +153,14 @@
     def __init__(
         self, fleet: str, me: Record, seeds: Iterable[str], periods: Periods, seed: int, now: float
     ) -> None:
-        self.fleet, self.times, self.rng = fleet, periods, Random(seed)
+        self.fleet, self.periods, self.rng = fleet, periods, Random(seed)
         self.me = msgspec.structs.replace(me, state=State.JOINING)
         self.seeds = [s for s in seeds if s != me.address]
         self.table = Table()
         self.table.put(now, self.me)
-        self.acts: list[Action] = []
+        self.actions: list[Action] = []
         self.health = 0  # 0: well; raised by what makes one doubt one's own view
-        self.expected, self.began = now, now  # expected: when the next tick was due
+        self.next_tick_due, self.began = now, now  # expected: when the next tick was due
         self.next_early = now  # an exchange for digests that differ, not before
         self.recent: deque[bool] = deque(maxlen=RECENT)  # whether the last probes were answered
         self.accuses: dict[str, None] = {}  # suspects that own probes did not reach
@@ -183,11 +183,11 @@
     def _head(self) -> Head:
         return Head(self.fleet, FORMAT, self.me, self.table.digest, tuple(self.accuses)[:4])
 
-    def _take(self) -> list[Action]:
-        acts, self.acts = self.acts, []
+    def _take_actions(self) -> list[Action]:
+        acts, self.actions = self.actions, []
         return acts
 
-    def _news(self, about: str = "") -> tuple[Record, ...]:
+    def _updates_for(self, about: str = "") -> tuple[Record, ...]:
         """On the back of a probe. One who is accused is told so first: nobody else can take it back."""
         record = self.table.records.get(about)
         accused = record is not None and record.state in (State.SUSPECT, State.GONE)
@@ -210,17 +210,17 @@
 
     def tick(self, now: float) -> list[Action]:
         """Time went on. To be called at `next_at`, and at least once a period."""
-        if now - self.expected > self.times.answer / 2:
-            self._stood_still(now - self.expected)
+        if now - self.next_tick_due > self.periods.answer / 2:
+            self._compensate_for_stall(now - self.next_tick_due)
         for seq in [seq for seq, h in self.helped.items() if now >= h.nack_at]:
             helped = self.helped[seq]
             if helped.nack_at < helped.ends:
-                self.acts.append(Send(helped.asker, Nack(self._head(), helped.seq)))
+                self.actions.append(Send(helped.asker, Nack(self._head(), helped.seq)))
                 helped.nack_at = helped.ends
             else:
                 del self.helped[seq]
         self._probe(now)
-        self._majority(now)
+        self._check_majority(now)
         for key, s in list(self.suspicions.items()):
             if s.asked == 0 and now >= s.asks_at():
                 s.asked = 1
@@ -228,20 +228,20 @@
                 if self.rng.random() * self.table.present() < ASKERS:
                     self._ping(key, self._next_seq())
             if now >= s.ends:
-                self._suspicion_over(now, key)
+                self._suspicion_expired(now, key)
         if now >= self.next_exchange and not self.leaving:
-            self.next_exchange = now + self.times.exchange * self.rng.uniform(0.8, 1.2)
+            self.next_exchange = now + self.periods.exchange * self.rng.uniform(0.8, 1.2)
             others = self._others((State.ALIVE, State.JOINING))
             if others:
                 self._exchange(self.table.records[self.rng.choice(others)].address)
             self.table.forget(now)
         if now >= self.next_retry and not self.leaving:
-            self.next_retry = now + self.times.retry * self.rng.uniform(0.8, 1.2)
+            self.next_retry = now + self.periods.retry * self.rng.uniform(0.8, 1.2)
             self._retry(now)
-        self.expected = max(now, self.next_at())
-        return self._take()
+        self.next_tick_due = max(now, self.next_at())
+        return self._take_actions()
 
-    def _stood_still(self, gap: float) -> None:
+    def _compensate_for_stall(self, gap: float) -> None:
         """This process was stopped or starved. What it waited for meanwhile may have come and lies unread:
         every wait gets its time again, and its own health is in doubt.
         """
@@ -274,10 +274,10 @@
             if target is not None:
                 for key in helpers:
                     self.counts["indirect"] += 1
-                    self.acts.append(
+                    self.actions.append(
                         Send(
                             self.table.records[key].address,
-                            Ask(self._head(), p.seq, p.key, target.address, self._news(key)),
+                            Ask(self._head(), p.seq, p.key, target.address, self._updates_for(key)),
                         )
                     )
         if p is not None and now >= p.ends:
@@ -287,10 +287,10 @@
             self._accuse(now, p.key)
         if now >= self.next_probe and self.probe is None and not self.leaving:
             target_key = self._next_target()
-            self.next_probe = now + self.times.period * self._stretch()
+            self.next_probe = now + self.periods.period * self._stretch()
             if target_key is None:
                 return
-            answer = self.times.answer * self._stretch()
+            answer = self.periods.answer * self._stretch()
             ends = max(self.next_probe, now + 3 * answer)
             self.probe = Probe(target_key, self._next_seq(), now + answer, ends)
             self.counts["probes"] += 1
@@ -325,37 +325,37 @@
 
     def _ping(self, key: str, seq: int) -> None:
         record = self.table.records[key]
-        self.acts.append(Send(record.address, Ping(self._head(), seq, key, self._news(key))))
+        self.actions.append(Send(record.address, Ping(self._head(), seq, key, self._updates_for(key))))
 
     def _accuse(self, now: float, key: str) -> None:
         record = self.table.records.get(key)
         if record is None or record.state in ENDED:
             return
-        if now - self.heard_at > 2 * self.times.period * self._stretch() and self.table.present() > 2:
+        if now - self.heard_at > 2 * self.periods.period * self._stretch() and self.table.present() > 2:
             return  # nobody at all was heard: it is rather this process that hears nothing
         self.counts["accused"] += 1
         self.accuses[key] = None
         self._merge(now, (msgspec.structs.replace(record, state=State.SUSPECT),))
-        self.acts.append(Send(record.address, News(self._head(), (self.table.records[key],))))
+        self.actions.append(Send(record.address, News(self._head(), (self.table.records[key],))))
 
     def _suspect(self, now: float, record: Record) -> None:
         found = self.suspicions.get(record.key)
         if found is not None and found.incarnation == record.incarnation:
             return
         n = max(1.0, log10(max(1, self.table.present())))
-        least = self.times.suspicion * n * self.times.period
-        longest = self.times.longest * least
+        least = self.periods.suspicion * n * self.periods.period
+        longest = self.periods.longest * least
         self.suspicions[record.key] = Suspicion(record.incarnation, now, least, longest, set())
 
-    def _suspicion_over(self, now: float, key: str) -> None:
+    def _suspicion_expired(self, now: float, key: str) -> None:
         record, suspicion = self.table.records.get(key), self.suspicions[key]
         if record is None or record.state is not State.SUSPECT or record.incarnation != suspicion.incarnation:
             del self.suspicions[key]
         elif self.cut_off or self._in_doubt(now):
             # It may be this process that is away: they stay suspects, and are asked on.
-            suspicion.held = now + self.times.period
+            suspicion.held = now + self.periods.period
         elif suspicion.asked < 2:
-            suspicion.asked, suspicion.held = 2, now + 2 * self.times.answer
+            suspicion.asked, suspicion.held = 2, now + 2 * self.periods.answer
             self._ping(key, self._next_seq())
         else:
             del self.suspicions[key]
@@ -366,11 +366,11 @@
         """Whether it may be this process that is away, although the table does not say so yet: nobody was
         heard lately, half of its last probes found nobody, or those asked for help were silent too.
         """
-        silent = now - self.heard_at > 2 * self.times.period * self._stretch()
+        silent = now - self.heard_at > 2 * self.periods.period * self._stretch()
         failed = self.recent.count(False)
         return silent or self.health >= UNWELL or (failed > 0 and 2 * failed >= len(self.recent))
 
-    def _majority(self, now: float) -> None:
+    def _check_majority(self, now: float) -> None:
         """Of all members that did not leave, more than half are there, this one among them. The gone ones
         count as long as they are remembered: else a minority would shrink the whole until it is a majority of
         it.
@@ -384,13 +384,13 @@
                     lost.add(r.name)  # unless it is at another address by now
             self.counted = (self.table.digest, len(there), len(there | lost))
         _, n, whole = self.counted
-        silent = now - self.heard_at > DEAF * self.times.period
+        silent = now - self.heard_at > DEAF * self.periods.period
         # As many as half and no more: a fleet of two that loses one, or is cut in halves.
         cut_off = whole > 1 and (2 * n <= whole or silent)
         if cut_off != self.cut_off:
             self.cut_off = cut_off
             why = f"{n} of {whole} are there" + ", nobody is heard" * silent
-            self.acts.append(Told("cut off" if cut_off else "sees a majority", why))
+            self.actions.append(Notice("cut off" if cut_off else "sees a majority", why))
             for s in self.suspicions.values():  # who is heard again has its time to say so
                 s.began, s.held, s.asked = now, 0.0, 0
                 s.sharers.clear()
@@ -399,7 +399,7 @@
 
     def _exchange(self, address: str) -> None:
         self.counts["exchanges"] += 1
-        self.acts.append(Exchange(address, Compare(self._head(), tuple(self.table.buckets))))
+        self.actions.append(Exchange(address, Compare(self._head(), tuple(self.table.buckets))))
 
     def _retry(self, now: float) -> None:
         """Those that are gone may be cut off, and then only this brings the two parts together again. Seeds
@@ -412,10 +412,10 @@
         if self.cut_off and suspects:
             self._exchange(self.rng.choice(suspects))
         if self.me.state is State.JOINING:
-            self.next_retry = now + self.times.period
+            self.next_retry = now + self.periods.period
             for address in self.seeds:
                 self._exchange(address)
-            if not self.seeds or now - self.began > 4 * self.times.retry:
+            if not self.seeds or now - self.began > 4 * self.periods.retry:
                 self._joined(now)  # alone for now: the seeds are asked on
         elif lost:
             for address in self.rng.sample(lost, min(HELPERS, len(lost))):
@@ -423,7 +423,7 @@
 
     def _joined(self, now: float) -> None:
         if self.me.state is State.JOINING:
-            self._speak(now, state=State.ALIVE)
+            self._update_own_record(now, state=State.ALIVE)
 
     # what comes in
 
@@ -441,26 +441,26 @@
         if len(self.refusals) < 64 or reason in self.refusals:
             self.refusals[reason] = self.refusals.get(reason, 0) + 1
             if self.refusals[reason] == 1:
-                self.acts.append(Told("refused", f"{who}: {reason}"))
+                self.actions.append(Notice("refused", f"{who}: {reason}"))
         return Refused(reason)
 
-    def heard(self, now: float, message: Message) -> list[Action]:
+    def datagram_received(self, now: float, message: Message) -> list[Action]:
         """A datagram came."""
         if isinstance(message, Refused):
             self._refuse(f"turned away there: {message.reason}", "a peer")
-            return self._take()
+            return self._take_actions()
         if isinstance(message, Compare | Differ | Rest):
             self.counts["garbage"] += 1
-            return self._take()
+            return self._take_actions()
         head = message.head
         if head.me.key == self.me.key:  # what this name and address said in a life before
             self.counts["garbage"] += 1
-            return self._take()
+            return self._take_actions()
         if why := self._welcome(now, head):
             refusal = self._refuse(why, head.me.key)
             if not isinstance(message, Nack | News):
-                self.acts.append(Send(head.me.address, refusal))
-            return self._take()
+                self.actions.append(Send(head.me.address, refusal))
+            return self._take_actions()
         self.heard_at = now
         self._merge(now, (head.me, *getattr(message, "news", ())))
         for key in head.accuses:
@@ -469,19 +469,21 @@
         sender = head.me.address
         if isinstance(message, Ping):
             if message.to == self.me.key:
-                self.acts.append(Send(sender, Ack(self._head(), message.seq, self._news(head.me.key))))
+                self.actions.append(
+                    Send(sender, Ack(self._head(), message.seq, self._updates_for(head.me.key)))
+                )
         elif isinstance(message, Ack):
-            self._acked(now, message)
+            self._ack_received(now, message)
         elif isinstance(message, Nack):
             if self.probe is not None and self.probe.seq == message.seq:
                 self.probe.nacks += 1
         elif isinstance(message, Ask):
             if len(self.helped) < MOST_HELPED and message.to != self.me.key:
                 seq = self._next_seq()
-                wait = self.times.answer * 0.8
-                self.helped[seq] = Helped(sender, message.seq, now + wait, now + 2 * self.times.period)
-                ping = Ping(self._head(), seq, message.to, self._news(message.to))
-                self.acts.append(Send(message.address, ping))
+                wait = self.periods.answer * 0.8
+                self.helped[seq] = Helped(sender, message.seq, now + wait, now + 2 * self.periods.period)
+                ping = Ping(self._head(), seq, message.to, self._updates_for(message.to))
+                self.actions.append(Send(message.address, ping))
         if (
             head.digest != self.table.digest
             and not 0 < len(self.table.fresh) <= BACKLOG
@@ -491,11 +493,11 @@
         ):
             # Nothing is left to spread, and still the two differ: something was lost on the way. Or so much
             # is left that an exchange is shorter: many joined at once.
-            self.next_early = now + 2 * self.times.period
+            self.next_early = now + 2 * self.periods.period
             self._exchange(sender)
-        return self._take()
+        return self._take_actions()
 
-    def _acked(self, now: float, message: Ack) -> None:
+    def _ack_received(self, now: float, message: Ack) -> None:
         p = self.probe
         if p is not None and p.seq == message.seq:
             self.probe = None
@@ -506,29 +508,29 @@
         helped = self.helped.pop(message.seq, None)
         if helped is not None:
             # Passed on in the name of who answered, so that its own word comes with it.
-            self.acts.append(Send(helped.asker, Ack(self._head(), helped.seq, (message.head.me,))))
+            self.actions.append(Send(helped.asker, Ack(self._head(), helped.seq, (message.head.me,))))
 
-    def asked(self, now: float, message: Stream) -> tuple[Stream | None, list[Action]]:
+    def exchange_message_received(self, now: float, message: Stream) -> tuple[Stream | None, list[Action]]:
         """Something came on the second path: what is answered there, and what else is done."""
         if isinstance(message, Refused):
             self._refuse(f"turned away there: {message.reason}", "a peer")
-            return None, self._take()
+            return None, self._take_actions()
         if why := self._welcome(now, message.head):
-            return self._refuse(why, message.head.me.key), self._take()
+            return self._refuse(why, message.head.me.key), self._take_actions()
         self.heard_at = now
         if isinstance(message, Compare):
             self._merge(now, (message.head.me,))
             differ = self.table.differing(message.buckets)
             there = self.table.within(differ)
-            return Differ(self._head(), differ, there, self.table.ages(now, there)), self._take()
+            return Differ(self._head(), differ, there, self.table.ages(now, there)), self._take_actions()
         if isinstance(message, Differ):
             there = self.table.within(message.buckets)  # as it was before: no news to them else
             rest = Rest(self._head(), there, self.table.ages(now, there))
             self._merge(now, (message.head.me, *message.records), (0, *message.ages))
             self._joined(now)
-            return rest, self._take()
+            return rest, self._take_actions()
         self._merge(now, (message.head.me, *message.records), (0, *message.ages))
-        return None, self._take()
+        return None, self._take_actions()
 
     # what holds
 
@@ -536,7 +538,7 @@
         """`ages`: seconds since each came to its end; what has none came to it now."""
         for record, age in zip(records, chain(ages, repeat(0)), strict=False):
             if record.key == self.me.key:
-                self._of_me(now, record)
+                self._refute(now, record)
                 continue
             new = record.key not in self.table.records
             old = self.table.put(now, record, 1000.0 * age)
@@ -549,9 +551,9 @@
                 self.accuses.pop(record.key, None)
             self._conflict(record)
             if old is None or old.state is not record.state or old.boot != record.boot:
-                self.acts.append(Changed(record, None if old is None else old.state))
+                self.actions.append(MemberChanged(record, None if old is None else old.state))
 
-    def _of_me(self, now: float, record: Record) -> None:
+    def _refute(self, now: float, record: Record) -> None:
         """What others say of this process. It alone knows better: a restart that forgot, a clock set back, an
         accusation, an end that was told of the life before, all are overruled by a higher incarnation.
         """
@@ -564,20 +566,20 @@
         if record.boot == self.me.boot and record.state is State.SUSPECT:
             self.health = min(WORST, self.health + 1)
         self.counts["refuted"] += 1
-        self._speak(now, incarnation=record.incarnation + 1)
+        self._update_own_record(now, incarnation=record.incarnation + 1)
         if not self.leaving:  # at once: on the back of the next probes alone it may come too late
             able = self._others((State.ALIVE,))
             for key in self.rng.sample(able, min(HELPERS, len(able))):
-                self.acts.append(Send(self.table.records[key].address, News(self._head(), (self.me,))))
+                self.actions.append(Send(self.table.records[key].address, News(self._head(), (self.me,))))
         if record.state in (State.SUSPECT, State.GONE) and record.boot == self.me.boot:
-            self.acts.append(
-                Told(
+            self.actions.append(
+                Notice(
                     "accused",
                     f"called {record.state.name.lower()} in incarnation {record.incarnation}, taken back",
                 )
             )
 
-    def _speak(self, now: float, **changes: object) -> None:
+    def _update_own_record(self, now: float, **changes: object) -> None:
         """A new own record. Where only the incarnation does not say so, it rises: a life never comes back."""
         self.me = msgspec.structs.replace(self.me, **changes)
         self.table.put(now, self.me)
@@ -591,26 +593,26 @@
         if record.state in (State.ALIVE, State.JOINING):
             if record.key not in self.taken and len(self.taken) < 64:
                 self.taken[record.key] = None
-                self.acts.append(Told("name taken", f"{record.name} is at {record.address} too"))
+                self.actions.append(Notice("name taken", f"{record.name} is at {record.address} too"))
         else:
             self.taken.pop(record.key, None)
 
     def now_is(self, now: float, version: str, config: str) -> list[Action]:
         """The configuration was read again."""
         if (version, config) != (self.me.version, self.me.config):
-            self._speak(now, version=version, config=config, incarnation=self.me.incarnation + 1)
-        return self._take()
+            self._update_own_record(now, version=version, config=config, incarnation=self.me.incarnation + 1)
+        return self._take_actions()
 
     def leave(self, now: float) -> list[Action]:
         """A planned stop: said to some at once, who spread it."""
         if self.leaving:
             return []
         self.leaving = True
-        self._speak(now, state=State.LEFT)
+        self._update_own_record(now, state=State.LEFT)
         others = self._others((State.JOINING, State.ALIVE, State.SUSPECT))
         for key in self.rng.sample(others, min(2 * HELPERS, len(others))):
-            self.acts.append(Send(self.table.records[key].address, News(self._head(), (self.me,))))
-        return self._take()
+            self.actions.append(Send(self.table.records[key].address, News(self._head(), (self.me,))))
+        return self._take_actions()
 
     # what is told
 
@@ -622,6 +624,6 @@
             row["alive" if r.state is State.JOINING else r.state.name.lower()] += 1
         return found
 
-    def known(self) -> Iterable[Record]:
+    def known_records(self) -> Iterable[Record]:
         """All records, of ended members and of the own one too."""
         return self.table.records.values()
--- a/softswitch/net/peers.py
+++ b/softswitch/net/peers.py
@@ -20,7 +20,7 @@
 
 from softswitch.components import ComponentCall, Host, settings_digest
 from softswitch.core.lifecycle import Phase
-from softswitch.fleet.member import Changed, Exchange, Member, Periods, Send, Told
+from softswitch.fleet.member import Exchange, Member, MemberChanged, Notice, Periods, Send
 from softswitch.fleet.messages import (
     BITS,
     ENDED,
@@ -227,7 +227,7 @@
         self.wheel.call_at(self.wheel.now + SAVE_EVERY, self._save)
         if self.snapshot is None or self.saving or self.quiet or self.saved == self.member.table.digest:
             return
-        me, records = self.member.me, self.member.known()
+        me, records = self.member.me, self.member.known_records()
         others = [r.address for r in records if r.state not in ENDED and r.key != me.key][:KEPT]
         self.saving, self.saved = True, self.member.table.digest
         saved = Saved(self.table.name, me.key, me.incarnation, tuple(others))
@@ -311,7 +311,7 @@
             self.wheel.call_at(self.wheel.now + AGAIN, self._bind)
             return
         self.said_busy = False
-        self.member.expected = self.wheel.now  # it waited by itself: no standstill
+        self.member.next_tick_due = self.wheel.now  # it waited by itself: no standstill
         self._tick(self.wheel.now)
 
     def _close(self) -> None:
@@ -354,7 +354,7 @@
     def _resize(self) -> None:
         """The module is told how many share what a cold engine bears: more at once, fewer with care."""
         joined = self.member.me.state is not State.JOINING
-        size = self.size.of(self.wheel.now, self.member.known(), joined, self.member.cut_off)
+        size = self.size.of(self.wheel.now, self.member.known_records(), joined, self.member.cut_off)
         if size != self.told_size and not self.quiet:
             logger.info("fleet: {} softswitches share what is whole, {} before", size, self.told_size)
             self.told_size = size
@@ -383,7 +383,7 @@
             if takes is not None and (message.fleet, message.format) == (self.table.name, FORMAT):
                 takes(message.body)
             return None
-        self._do(self.member.heard(now, message))
+        self._do(self.member.datagram_received(now, message))
         return None
 
     def garbage(self, why: str) -> None:
@@ -394,7 +394,7 @@
 
     def exchanged(self, message: Any) -> Any:
         """The answer of this member to a message of an exchange; None ends the exchange."""
-        answer, actions = self.member.asked(self.wheel.now, message)
+        answer, actions = self.member.exchange_message_received(self.wheel.now, message)
         self._do(actions)
         return answer
 
@@ -411,14 +411,14 @@
                 self._send(a.to, a.message)
             elif isinstance(a, Exchange):
                 if len(self.lines) < MOST_EXCHANGES and self.port is not None:
-                    self.host.reactor.connectTCP(*self._dial(a.to), Opener(self, a.said), timeout=1.0)
-            elif isinstance(a, Changed):
+                    self.host.reactor.connectTCP(*self._dial(a.to), Opener(self, a.request), timeout=1.0)
+            elif isinstance(a, MemberChanged):
                 resize = True
                 self._changed(a)
-            elif isinstance(a, Told):
-                self.count[f"told: {a.what}"] += 1
-                level = "INFO" if a.what == "sees a majority" else "WARNING"
-                logger.log(level, "fleet: {}: {}", a.what, a.why)
+            elif isinstance(a, Notice):
+                self.count[f"told: {a.event}"] += 1
+                level = "INFO" if a.event == "sees a majority" else "WARNING"
+                logger.log(level, "fleet: {}: {}", a.event, a.details)
         if resize:
             self._resize()
         if self.port is not None:
@@ -445,8 +445,8 @@
         self._send(to, Carried(self.table.name, FORMAT, part, body))
         return True
 
-    def _changed(self, change: Changed) -> None:
-        record, was = change.record, change.was
+    def _changed(self, change: MemberChanged) -> None:
+        record, was = change.record, change.previous_state
         before = "not known" if was is None else was.name.lower()
         logger.info(
             "fleet: {} {}, {} before, incarnation {}",
@@ -475,7 +475,7 @@
                 "mgmt": r.mgmt,
                 "for_ms": round(now - table.since.get(r.key, now)),
             }
-            for r in sorted(member.known(), key=lambda r: r.key)
+            for r in sorted(member.known_records(), key=lambda r: r.key)
         ]
         return 200, {
             "fleet": member.fleet,
--- a/softswitch/standin/faults/fleet_simulation.py
+++ b/softswitch/standin/faults/fleet_simulation.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from softswitch.fleet.member import Changed, Exchange, Member, Periods, Send, Told
+from softswitch.fleet.member import Exchange, Member, MemberChanged, Notice, Periods, Send
 from softswitch.fleet.messages import BITS, ENDED, Record, State
 from softswitch.standin.faults.links import Links, On
 from softswitch.standin.faults.schedule import Fault, selected
@@ -159,7 +159,9 @@
 
     def _end(self, node: Node) -> None:
         if node.member is not None:
-            known = [r.address for r in node.member.known() if r.state not in ENDED and r.name != node.name]
+            known = [
+                r.address for r in node.member.known_records() if r.state not in ENDED and r.name != node.name
+            ]
             node.saved = (node.member.me.incarnation, known[:256])
         node.up, node.member, node.inbox = False, None, []
         self.links.away.add(node.name)
@@ -204,12 +206,12 @@
             if isinstance(a, Send):
                 self._send(node, a.to, a.message)
             elif isinstance(a, Exchange):
-                self._exchange(node, a.to, a.said)
-            elif isinstance(a, Changed):
+                self._exchange(node, a.to, a.request)
+            elif isinstance(a, MemberChanged):
                 self._changed(node, a)
-            elif isinstance(a, Told):
-                self.told[a.what] += 1
-                self.log.append((self.now, f"{node.name}: {a.what}: {a.why}"))
+            elif isinstance(a, Notice):
+                self.told[a.event] += 1
+                self.log.append((self.now, f"{node.name}: {a.event}: {a.details}"))
         self._check(node)
 
     # links
@@ -240,7 +242,7 @@
 
     def _heard(self, node: Node, message: Any) -> None:
         if node.member is not None:
-            self._do(node, node.member.heard(self.now, message))
+            self._do(node, node.member.datagram_received(self.now, message))
 
     def _exchange(self, src: Node, to: str, said: Any) -> None:
         """A connection: what is lost on the way is sent again and only comes later; a cut ends it."""
@@ -259,7 +261,7 @@
     def _asked(self, node: Node, src: Node, message: Any) -> None:
         if node.member is None:
             return
-        answer, actions = node.member.asked(self.now, message)
+        answer, actions = node.member.exchange_message_received(self.now, message)
         self._do(node, actions)
         if answer is not None:
             self._carry(node, src, answer)
@@ -298,7 +300,7 @@
 
     # the checker
 
-    def _changed(self, node: Node, change: Changed) -> None:
+    def _changed(self, node: Node, change: MemberChanged) -> None:
         record = change.record
         about = self.by_address.get(record.address)
         if about is None:
@@ -320,8 +322,8 @@
         assert member is not None
         if member.counts["gone"] > node.called_gone:  # by its own word, not by another's
             node.called_gone = member.counts["gone"]
-            there = {r.name for r in member.known() if r.state in (State.ALIVE, State.JOINING)}
-            whole = there | {r.name for r in member.known() if r.state is not State.LEFT}
+            there = {r.name for r in member.known_records() if r.state in (State.ALIVE, State.JOINING)}
+            whole = there | {r.name for r in member.known_records() if r.state is not State.LEFT}
             if 2 * len(there) <= len(whole):
                 raise Broken(f"{node.name} at {self.now:.0f} ms: no majority, {record.key} called gone")
         if record.state is State.GONE and record.boot in self.planned:
@@ -400,7 +402,7 @@
                     n.member is None
                     or all(
                         r.state is not State.ALIVE or world.nodes[r.name].up
-                        for r in n.member.known()
+                        for r in n.member.known_records()
                         if r.name in dead
                     )
                     for n in world.running()
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 
-from softswitch.fleet.member import Changed, Exchange, Member, Periods, Send, Told
+from softswitch.fleet.member import Exchange, Member, MemberChanged, Notice, Periods, Send
 from softswitch.fleet.member_table import KEPT_ENDED, MOST, Table
 from softswitch.fleet.messages import Ack, Compare, Head, Message, News, Ping, Record, Refused, State
 from softswitch.fleet.size import Size
@@ -33,7 +33,7 @@
 
 def told(m, now, *records, sender="n1"):
     head = Head("f", 1, record(sender), 0)
-    return m.heard(now, News(head, tuple(records)))
+    return m.datagram_received(now, News(head, tuple(records)))
 
 
 # the table
@@ -80,9 +80,9 @@
     a, b, late = member("n0"), member("n1"), member("n3")
 
     def exchange(now, one, other):
-        differ, _ = other.asked(now, Compare(one._head(), tuple(one.table.buckets)))
-        rest, _ = one.asked(now, differ)
-        other.asked(now, rest)
+        differ, _ = other.exchange_message_received(now, Compare(one._head(), tuple(one.table.buckets)))
+        rest, _ = one.exchange_message_received(now, differ)
+        other.exchange_message_received(now, rest)
 
     a.table.put(0.0, dead)
     b.table.put(10_000.0, dead)  # heard of it a little later
@@ -139,7 +139,7 @@
     sent = [a for a in acts if isinstance(a, Send) and isinstance(a.message, News)]
     assert sent
     assert all(a.message.news == (m.me,) for a in sent)
-    assert any(isinstance(a, Told) and a.what == "accused" for a in acts)
+    assert any(isinstance(a, Notice) and a.event == "accused" for a in acts)
 
 
 def test_a_restart_that_forgot_overrules_what_was_said_of_the_life_before():
@@ -156,12 +156,12 @@
     m = member()
     other = msgspec.structs.replace(record("n0", boot=5), address="10.0.0.9:7000")
     acts = told(m, 1.0, other)
-    assert [a.why for a in acts if isinstance(a, Told) and a.what == "name taken"] == [
+    assert [a.details for a in acts if isinstance(a, Notice) and a.event == "name taken"] == [
         "n0 is at 10.0.0.9:7000 too"
     ]
     assert m.me.incarnation == 1
     assert m.table.records[other.key].state is State.ALIVE
-    assert not [a for a in told(m, 2.0, other) if isinstance(a, Told)]  # once
+    assert not [a for a in told(m, 2.0, other) if isinstance(a, Notice)]  # once
 
 
 @pytest.mark.parametrize(
@@ -173,10 +173,10 @@
 )
 def test_another_fleet_or_format_is_refused_with_a_reason(head, why):
     m = member()
-    acts = m.heard(1.0, Ping(head, 1, m.me.key))
+    acts = m.datagram_received(1.0, Ping(head, 1, m.me.key))
     assert [a.message for a in acts if isinstance(a, Send)] == [Refused(why)]
     assert len(m.table.records) == 1
-    assert m.asked(1.0, Compare(head, (0,) * 64))[0] == Refused(why)
+    assert m.exchange_message_received(1.0, Compare(head, (0,) * 64))[0] == Refused(why)
 
 
 def test_one_that_stood_still_gives_every_wait_its_time_again_and_accuses_nobody():
@@ -188,7 +188,7 @@
     assert m.counts["standstills"] == 1
     assert m.counts["accused"] == 0
     assert m.health == 1
-    assert not [a for a in acts if isinstance(a, Changed)]
+    assert not [a for a in acts if isinstance(a, MemberChanged)]
 
 
 def test_a_minority_calls_nobody_gone_and_says_that_it_is_cut_off():
@@ -200,8 +200,8 @@
         m.heard_at = now  # something is heard, from nobody of use
         said += m.tick(now)
     assert m.cut_off
-    assert "cut off" in [a.what for a in said if isinstance(a, Told)]
-    states = {r.state for r in m.known() if r.name != "n0"}
+    assert "cut off" in [a.event for a in said if isinstance(a, Notice)]
+    states = {r.state for r in m.known_records() if r.name != "n0"}
     assert states == {State.SUSPECT}
     assert m.sites()[""]["gone"] == 0
 
@@ -226,7 +226,7 @@
         with pytest.raises((msgspec.DecodeError, msgspec.ValidationError)):
             codec.decode(data)
     m = member()
-    m.heard(1.0, Ack(Head("f", 1, record("n1"), 0), 12345))  # of a probe that never was
+    m.datagram_received(1.0, Ack(Head("f", 1, record("n1"), 0), 12345))  # of a probe that never was
     assert m.probe is None
 
 
@@ -361,7 +361,7 @@
         )
 
     with monkeypatch.context() as patch:
-        patch.setattr(Member, "_of_me", lambda self, now, record: None)
+        patch.setattr(Member, "_refute", lambda self, now, record: None)
         assert wrong()
     old = Table.put
 
