--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -281,7 +281,7 @@
                     self._merge(now, (msgspec.structs.replace(record, state=State.GONE),))
                 else:
                     self.actions.append(
-                        Send(self.table.records[key].address, Ping(self._head(), self._next_seq(), key))
+                        Send(self.table.records[key].address, Ping(self._header(), self._next_seq(), key))
                     )
         if now >= self.next_retry:
             self.next_retry = now + self.periods.retry
@@ -293,8 +293,8 @@
         return min(getattr(self, "round_at", 0.0), self.next_retry)
 
     def datagram_received(self, now, message):
-        if hasattr(message, "head") and hasattr(self, "missed"):
-            self.missed[message.head.me.key] = 0
+        if hasattr(message, "header") and hasattr(self, "missed"):
+            self.missed[message.header.sender.key] = 0
         return super().datagram_received(now, message)
 
 
--- a/softswitch/budgets/messages.py
+++ b/softswitch/budgets/messages.py
@@ -9,7 +9,7 @@
 
 from msgspec import Meta, Struct
 
-from softswitch.fleet.messages import Address, Digest, Whole
+from softswitch.fleet.messages import Address, Digest, UnsignedInt
 
 MAX_BUDGETS = 16  # so many fit one datagram, whatever their names and figures
 MAX_DURATION = 600_000  # ms
@@ -18,8 +18,8 @@
 Slots = Annotated[int, Meta(ge=0, le=10_000_000)]
 Duration = Annotated[float, Meta(gt=0, le=MAX_DURATION)]  # ms
 # an allocator's time in office: term, and a number drawn for it; none comes twice
-Epoch = tuple[Whole, Digest]
-GrantId = tuple[Digest, Whole]  # the number of the allocator's epoch, and the grant's place in it
+Epoch = tuple[UnsignedInt, Digest]
+GrantId = tuple[Digest, UnsignedInt]  # the number of the allocator's epoch, and the grant's place in it
 NO_EPOCH: Epoch = (0, 0)
 NO_GRANT: GrantId = (0, 0)
 
@@ -40,7 +40,7 @@
 
     address: Address
     boot: Digest
-    seq: Whole
+    seq: UnsignedInt
     epoch: Epoch  # the one heard of last; an answer that echoes it was sent after the epoch began
     basis: GrantId  # the grant that is held, or was last
     budgets: Annotated[tuple[BudgetRequest, ...], Meta(max_length=MAX_BUDGETS)]
@@ -51,7 +51,7 @@
     """The allocator's answer. It holds only where `basis` is still what the holder has."""
 
     boot: Digest
-    seq: Whole
+    seq: UnsignedInt
     epoch: Epoch
     allocator: Address
     id: GrantId
@@ -76,7 +76,7 @@
 
     address: Address
     epoch: Epoch
-    round: Whole
+    round: UnsignedInt
     voters: Digest  # of what voters have to agree on
 
 
@@ -85,7 +85,7 @@
 
     voter: Address
     epoch: Epoch
-    round: Whole
+    round: UnsignedInt
 
 
 class PromiseDenied(Struct, frozen=True, array_like=True, tag=6):
@@ -93,8 +93,8 @@
 
     voter: Address
     epoch: Epoch  # that was asked for
-    round: Whole
-    term: Whole  # the highest one heard of there
+    round: UnsignedInt
+    term: UnsignedInt  # the highest one heard of there
     why: Annotated[str, Meta(max_length=160)]
 
 
--- a/softswitch/fleet/member.py
+++ b/softswitch/fleet/member.py
@@ -26,20 +26,20 @@
     ENDED,
     FORMAT,
     Ack,
-    Ask,
-    Compare,
+    CompareDigests,
     Datagram,
-    Differ,
-    Head,
+    DifferingRecords,
+    Header,
     Message,
     Nack,
-    News,
     Ping,
+    PingRequest,
     Record,
-    Refused,
-    Rest,
+    Rejected,
+    RemainingRecords,
     State,
     Stream,
+    Updates,
 )
 
 HELPERS = 3  # members asked to probe for us
@@ -79,7 +79,7 @@
     """An exchange over the second path: `said` goes out, and what comes back is given to `heard_back`."""
 
     to: str
-    request: Compare
+    request: CompareDigests
 
 
 @dataclass(frozen=True, slots=True)
@@ -180,8 +180,8 @@
 
     # what goes out
 
-    def _head(self) -> Head:
-        return Head(self.fleet, FORMAT, self.me, self.table.digest, tuple(self.accuses)[:4])
+    def _header(self) -> Header:
+        return Header(self.fleet, FORMAT, self.me, self.table.digest, tuple(self.accuses)[:4])
 
     def _take_actions(self) -> list[Action]:
         acts, self.actions = self.actions, []
@@ -215,7 +215,7 @@
         for seq in [seq for seq, h in self.helped.items() if now >= h.nack_at]:
             helped = self.helped[seq]
             if helped.nack_at < helped.ends:
-                self.actions.append(Send(helped.asker, Nack(self._head(), helped.seq)))
+                self.actions.append(Send(helped.asker, Nack(self._header(), helped.seq)))
                 helped.nack_at = helped.ends
             else:
                 del self.helped[seq]
@@ -277,7 +277,7 @@
                     self.actions.append(
                         Send(
                             self.table.records[key].address,
-                            Ask(self._head(), p.seq, p.key, target.address, self._updates_for(key)),
+                            PingRequest(self._header(), p.seq, p.key, target.address, self._updates_for(key)),
                         )
                     )
         if p is not None and now >= p.ends:
@@ -325,7 +325,7 @@
 
     def _ping(self, key: str, seq: int) -> None:
         record = self.table.records[key]
-        self.actions.append(Send(record.address, Ping(self._head(), seq, key, self._updates_for(key))))
+        self.actions.append(Send(record.address, Ping(self._header(), seq, key, self._updates_for(key))))
 
     def _accuse(self, now: float, key: str) -> None:
         record = self.table.records.get(key)
@@ -336,7 +336,7 @@
         self.counts["accused"] += 1
         self.accuses[key] = None
         self._merge(now, (msgspec.structs.replace(record, state=State.SUSPECT),))
-        self.actions.append(Send(record.address, News(self._head(), (self.table.records[key],))))
+        self.actions.append(Send(record.address, Updates(self._header(), (self.table.records[key],))))
 
     def _suspect(self, now: float, record: Record) -> None:
         found = self.suspicions.get(record.key)
@@ -399,7 +399,7 @@
 
     def _exchange(self, address: str) -> None:
         self.counts["exchanges"] += 1
-        self.actions.append(Exchange(address, Compare(self._head(), tuple(self.table.buckets))))
+        self.actions.append(Exchange(address, CompareDigests(self._header(), tuple(self.table.buckets))))
 
     def _retry(self, now: float) -> None:
         """Those that are gone may be cut off, and then only this brings the two parts together again. Seeds
@@ -427,65 +427,65 @@
 
     # what comes in
 
-    def _welcome(self, now: float, head: Head) -> str:
+    def _welcome(self, now: float, header: Header) -> str:
         """Empty if the sender is of this fleet; else why it is not listened to."""
-        if head.format != FORMAT:
-            return f"format {head.format} of messages, {FORMAT} is spoken here"
-        if head.fleet != self.fleet:
-            return f"fleet {head.fleet!r}, this one is {self.fleet!r}"
-        if head.me.key == self.me.key:
+        if header.format != FORMAT:
+            return f"format {header.format} of messages, {FORMAT} is spoken here"
+        if header.fleet != self.fleet:
+            return f"fleet {header.fleet!r}, this one is {self.fleet!r}"
+        if header.sender.key == self.me.key:
             return f"name and address of {self.me.key}, which is this process"
         return ""
 
-    def _refuse(self, reason: str, who: str) -> Refused:
+    def _refuse(self, reason: str, who: str) -> Rejected:
         if len(self.refusals) < 64 or reason in self.refusals:
             self.refusals[reason] = self.refusals.get(reason, 0) + 1
             if self.refusals[reason] == 1:
                 self.actions.append(Notice("refused", f"{who}: {reason}"))
-        return Refused(reason)
+        return Rejected(reason)
 
     def datagram_received(self, now: float, message: Message) -> list[Action]:
         """A datagram came."""
-        if isinstance(message, Refused):
+        if isinstance(message, Rejected):
             self._refuse(f"turned away there: {message.reason}", "a peer")
             return self._take_actions()
-        if isinstance(message, Compare | Differ | Rest):
+        if isinstance(message, CompareDigests | DifferingRecords | RemainingRecords):
             self.counts["garbage"] += 1
             return self._take_actions()
-        head = message.head
-        if head.me.key == self.me.key:  # what this name and address said in a life before
+        header = message.header
+        if header.sender.key == self.me.key:  # what this name and address said in a life before
             self.counts["garbage"] += 1
             return self._take_actions()
-        if why := self._welcome(now, head):
-            refusal = self._refuse(why, head.me.key)
-            if not isinstance(message, Nack | News):
-                self.actions.append(Send(head.me.address, refusal))
+        if why := self._welcome(now, header):
+            refusal = self._refuse(why, header.sender.key)
+            if not isinstance(message, Nack | Updates):
+                self.actions.append(Send(header.sender.address, refusal))
             return self._take_actions()
         self.heard_at = now
-        self._merge(now, (head.me, *getattr(message, "news", ())))
-        for key in head.accuses:
+        self._merge(now, (header.sender, *getattr(message, "updates", ())))
+        for key in header.accuses:
             if key in self.suspicions:
-                self.suspicions[key].sharers.add(head.me.key)
-        sender = head.me.address
+                self.suspicions[key].sharers.add(header.sender.key)
+        sender = header.sender.address
         if isinstance(message, Ping):
             if message.to == self.me.key:
                 self.actions.append(
-                    Send(sender, Ack(self._head(), message.seq, self._updates_for(head.me.key)))
+                    Send(sender, Ack(self._header(), message.seq, self._updates_for(header.sender.key)))
                 )
         elif isinstance(message, Ack):
             self._ack_received(now, message)
         elif isinstance(message, Nack):
             if self.probe is not None and self.probe.seq == message.seq:
                 self.probe.nacks += 1
-        elif isinstance(message, Ask):
+        elif isinstance(message, PingRequest):
             if len(self.helped) < MOST_HELPED and message.to != self.me.key:
                 seq = self._next_seq()
                 wait = self.periods.answer * 0.8
                 self.helped[seq] = Helped(sender, message.seq, now + wait, now + 2 * self.periods.period)
-                ping = Ping(self._head(), seq, message.to, self._updates_for(message.to))
+                ping = Ping(self._header(), seq, message.to, self._updates_for(message.to))
                 self.actions.append(Send(message.address, ping))
         if (
-            head.digest != self.table.digest
+            header.digest != self.table.digest
             and not 0 < len(self.table.fresh) <= BACKLOG
             and isinstance(message, Ack)
             and now >= self.next_early
@@ -508,28 +508,30 @@
         helped = self.helped.pop(message.seq, None)
         if helped is not None:
             # Passed on in the name of who answered, so that its own word comes with it.
-            self.actions.append(Send(helped.asker, Ack(self._head(), helped.seq, (message.head.me,))))
+            self.actions.append(Send(helped.asker, Ack(self._header(), helped.seq, (message.header.sender,))))
 
     def exchange_message_received(self, now: float, message: Stream) -> tuple[Stream | None, list[Action]]:
         """Something came on the second path: what is answered there, and what else is done."""
-        if isinstance(message, Refused):
+        if isinstance(message, Rejected):
             self._refuse(f"turned away there: {message.reason}", "a peer")
             return None, self._take_actions()
-        if why := self._welcome(now, message.head):
-            return self._refuse(why, message.head.me.key), self._take_actions()
+        if why := self._welcome(now, message.header):
+            return self._refuse(why, message.header.sender.key), self._take_actions()
         self.heard_at = now
-        if isinstance(message, Compare):
-            self._merge(now, (message.head.me,))
+        if isinstance(message, CompareDigests):
+            self._merge(now, (message.header.sender,))
             differ = self.table.differing(message.buckets)
             there = self.table.within(differ)
-            return Differ(self._head(), differ, there, self.table.ages(now, there)), self._take_actions()
-        if isinstance(message, Differ):
+            return DifferingRecords(
+                self._header(), differ, there, self.table.ages(now, there)
+            ), self._take_actions()
+        if isinstance(message, DifferingRecords):
             there = self.table.within(message.buckets)  # as it was before: no news to them else
-            rest = Rest(self._head(), there, self.table.ages(now, there))
-            self._merge(now, (message.head.me, *message.records), (0, *message.ages))
+            rest = RemainingRecords(self._header(), there, self.table.ages(now, there))
+            self._merge(now, (message.header.sender, *message.records), (0, *message.ages))
             self._joined(now)
             return rest, self._take_actions()
-        self._merge(now, (message.head.me, *message.records), (0, *message.ages))
+        self._merge(now, (message.header.sender, *message.records), (0, *message.ages))
         return None, self._take_actions()
 
     # what holds
@@ -570,7 +572,9 @@
         if not self.leaving:  # at once: on the back of the next probes alone it may come too late
             able = self._others((State.ALIVE,))
             for key in self.rng.sample(able, min(HELPERS, len(able))):
-                self.actions.append(Send(self.table.records[key].address, News(self._head(), (self.me,))))
+                self.actions.append(
+                    Send(self.table.records[key].address, Updates(self._header(), (self.me,)))
+                )
         if record.state in (State.SUSPECT, State.GONE) and record.boot == self.me.boot:
             self.actions.append(
                 Notice(
@@ -611,7 +615,7 @@
         self._update_own_record(now, state=State.LEFT)
         others = self._others((State.JOINING, State.ALIVE, State.SUSPECT))
         for key in self.rng.sample(others, min(2 * HELPERS, len(others))):
-            self.actions.append(Send(self.table.records[key].address, News(self._head(), (self.me,))))
+            self.actions.append(Send(self.table.records[key].address, Updates(self._header(), (self.me,))))
         return self._take_actions()
 
     # what is told
--- a/softswitch/fleet/member_table.py
+++ b/softswitch/fleet/member_table.py
@@ -10,7 +10,7 @@
 from hashlib import blake2b
 from math import ceil, log2
 
-from softswitch.fleet.messages import BITS, BUCKETS, ENDED, Record, State
+from softswitch.fleet.messages import BUCKETS, ENDED, ID_BITS, Record, State
 
 SPREAD = 3.0  # times log2 of the fleet that a piece of news is passed on by each member
 # ms for which an ended member is remembered: tombstones of a whole partition's length
@@ -23,7 +23,7 @@
 def digest_of(record: Record) -> int:
     """Some bits of what two views have to agree on: who, in which incarnation and state."""
     said = f"{record.key} {record.incarnation} {int(record.state)} {record.boot}".encode()
-    return int.from_bytes(blake2b(said, digest_size=8).digest(), "big") >> (64 - BITS)
+    return int.from_bytes(blake2b(said, digest_size=8).digest(), "big") >> (64 - ID_BITS)
 
 
 def bucket_of(key: str) -> int:
--- a/softswitch/fleet/messages.py
+++ b/softswitch/fleet/messages.py
@@ -8,7 +8,7 @@
 from msgspec import Meta, Struct
 
 FORMAT = 1  # of these messages; another one is refused with a reason
-BITS = 62  # of digests and of what tells one start of a process from another
+ID_BITS = 62  # of digests and of what tells one start of a process from another
 BUCKETS = 64  # parts of a table that are compared by digest
 
 Text = Annotated[str, Meta(min_length=1, max_length=64)]
@@ -16,8 +16,8 @@
 OCTET = r"(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])"
 PORT = r"(6553[0-5]|655[0-2][0-9]|65[0-4][0-9]{2}|6[0-4][0-9]{3}|[1-5][0-9]{4}|[1-9][0-9]{0,3})"
 Address = Annotated[str, Meta(max_length=21, pattern=rf"^{OCTET}(\.{OCTET}){{3}}:{PORT}\Z")]
-Whole = Annotated[int, Meta(ge=0, lt=1 << 53)]
-Digest = Annotated[int, Meta(ge=0, lt=1 << BITS)]
+UnsignedInt = Annotated[int, Meta(ge=0, lt=1 << 53)]
+Digest = Annotated[int, Meta(ge=0, lt=1 << ID_BITS)]
 
 
 class State(IntEnum):
@@ -40,7 +40,7 @@
 
     name: Text
     address: Address  # host:port; with the name, who it is
-    incarnation: Whole
+    incarnation: UnsignedInt
     state: State
     boot: Digest  # drawn at each start of the process
     site: Annotated[str, Meta(max_length=64)] = ""
@@ -61,21 +61,21 @@
         return (self.incarnation, self.state, self.boot, self.version, self.config, self.site, self.mgmt)
 
 
-Some = Annotated[tuple[Record, ...], Meta(max_length=64)]
-Many = Annotated[tuple[Record, ...], Meta(max_length=20_000)]
+RecordBatch = Annotated[tuple[Record, ...], Meta(max_length=64)]
+RecordList = Annotated[tuple[Record, ...], Meta(max_length=20_000)]
 # Seconds since each of the records with it came to its end, 0 for those that have not: a tombstone's life
 # goes on, whoever hears of it.
 Ages = Annotated[tuple[Annotated[int, Meta(ge=0, lt=1 << 32)], ...], Meta(max_length=20_000)]
-Indices = Annotated[tuple[Annotated[int, Meta(ge=0, lt=BUCKETS)], ...], Meta(max_length=BUCKETS)]
-Digests = Annotated[tuple[Digest, ...], Meta(min_length=BUCKETS, max_length=BUCKETS)]
+BucketIndices = Annotated[tuple[Annotated[int, Meta(ge=0, lt=BUCKETS)], ...], Meta(max_length=BUCKETS)]
+BucketDigests = Annotated[tuple[Digest, ...], Meta(min_length=BUCKETS, max_length=BUCKETS)]
 
 
-class Head(Struct, frozen=True, array_like=True):
+class Header(Struct, frozen=True, array_like=True):
     """Who speaks: fleet, format, and the sender's own record."""
 
     fleet: Text
     format: int
-    me: Record
+    sender: Record
     digest: Digest  # of its whole table
     # by own probes
     accuses: Annotated[tuple[Annotated[str, Meta(max_length=160)], ...], Meta(max_length=4)] = ()
@@ -84,83 +84,93 @@
 class Ping(Struct, frozen=True, array_like=True, tag=1):
     """Are you there? `to` is the key of who is meant: another process may have the address by now."""
 
-    head: Head
-    seq: Whole
+    header: Header
+    seq: UnsignedInt
     to: Annotated[str, Meta(max_length=160)]
-    news: Some = ()
+    updates: RecordBatch = ()
 
 
 class Ack(Struct, frozen=True, array_like=True, tag=2):
     """The answer to a probe."""
 
-    head: Head
-    seq: Whole
-    news: Some = ()
+    header: Header
+    seq: UnsignedInt
+    updates: RecordBatch = ()
 
 
-class Ask(Struct, frozen=True, array_like=True, tag=3):
+class PingRequest(Struct, frozen=True, array_like=True, tag=3):
     """Ping this one for me."""
 
-    head: Head
-    seq: Whole
+    header: Header
+    seq: UnsignedInt
     to: Annotated[str, Meta(max_length=160)]
     address: Address
-    news: Some = ()
+    updates: RecordBatch = ()
 
 
 class Nack(Struct, frozen=True, array_like=True, tag=4):
     """Asked, and nothing heard from it: at least I am there."""
 
-    head: Head
-    seq: Whole
+    header: Header
+    seq: UnsignedInt
 
 
-class News(Struct, frozen=True, array_like=True, tag=5):
+class Updates(Struct, frozen=True, array_like=True, tag=5):
     """Wants no answer."""
 
-    head: Head
-    news: Some
+    header: Header
+    updates: RecordBatch
 
 
-class Compare(Struct, frozen=True, array_like=True, tag=6):
+class CompareDigests(Struct, frozen=True, array_like=True, tag=6):
     """Opens an exchange: digests of all buckets of the sender's table."""
 
-    head: Head
-    buckets: Digests
+    header: Header
+    buckets: BucketDigests
 
 
-class Differ(Struct, frozen=True, array_like=True, tag=7):
+class DifferingRecords(Struct, frozen=True, array_like=True, tag=7):
     """The answer: in which buckets the tables differ, and what stands there."""
 
-    head: Head
-    buckets: Indices
-    records: Many
+    header: Header
+    buckets: BucketIndices
+    records: RecordList
     ages: Ages = ()
 
 
-class Rest(Struct, frozen=True, array_like=True, tag=8):
+class RemainingRecords(Struct, frozen=True, array_like=True, tag=8):
     """Ends an exchange: what the opener has in those buckets."""
 
-    head: Head
-    records: Many
+    header: Header
+    records: RecordList
     ages: Ages = ()
 
 
-class Refused(Struct, frozen=True, array_like=True, tag=9):
+class Rejected(Struct, frozen=True, array_like=True, tag=9):
     """The exchange was refused, for this reason."""
 
     reason: Annotated[str, Meta(max_length=200)]
 
 
-class Carried(Struct, frozen=True, array_like=True, tag=10):
+class ComponentMessage(Struct, frozen=True, array_like=True, tag=10):
     """What another part of the program says to its like at another member. The view takes no notice of it."""
 
     fleet: Text
     format: int
-    part: Annotated[str, Meta(min_length=1, max_length=16)]
+    component: Annotated[str, Meta(min_length=1, max_length=16)]
     body: Annotated[bytes, Meta(max_length=1_300)]
 
 
-Datagram = Ping | Ack | Ask | Nack | News | Refused
-Stream = Compare | Differ | Rest | Refused
-Message = Ping | Ack | Ask | Nack | News | Compare | Differ | Rest | Refused
+Datagram = Ping | Ack | PingRequest | Nack | Updates | Rejected
+Stream = CompareDigests | DifferingRecords | RemainingRecords | Rejected
+Message = (
+    Ping
+    | Ack
+    | PingRequest
+    | Nack
+    | Updates
+    | CompareDigests
+    | DifferingRecords
+    | RemainingRecords
+    | Rejected
+)
--- a/softswitch/net/peers.py
+++ b/softswitch/net/peers.py
@@ -22,16 +22,16 @@
 from softswitch.core.lifecycle import Phase
 from softswitch.fleet.member import Exchange, Member, MemberChanged, Notice, Periods, Send
 from softswitch.fleet.messages import (
-    BITS,
     ENDED,
     FORMAT,
-    Carried,
-    Compare,
+    ID_BITS,
+    CompareDigests,
+    ComponentMessage,
     Datagram,
-    Differ,
+    DifferingRecords,
     Record,
-    Refused,
-    Rest,
+    Rejected,
+    RemainingRecords,
     State,
     Stream,
 )
@@ -74,7 +74,7 @@
 
     MAX_LENGTH = LONGEST_EXCHANGE
 
-    def __init__(self, peers: Peers, said: Compare | None = None) -> None:
+    def __init__(self, peers: Peers, said: CompareDigests | None = None) -> None:
         self.peers, self.said, self.timer = peers, said, None
 
     def connectionMade(self) -> None:
@@ -103,14 +103,18 @@
             self.peers.garbage(str(e))
             self.transport.abortConnection()
             return
-        if isinstance(message, Differ) != (self.said is not None) and not isinstance(message, Refused):
+        if isinstance(message, DifferingRecords) != (self.said is not None) and not isinstance(
+            message, Rejected
+        ):
             self.peers.garbage("not what was asked")
             self.transport.abortConnection()
             return
         answer = self.peers.exchanged(message)
         if answer is not None:
             self.sendString(self.peers.encoder.encode(answer))
-        if isinstance(message, Differ | Rest | Refused) or isinstance(answer, Refused):
+        if isinstance(message, DifferingRecords | RemainingRecords | Rejected) or isinstance(
+            answer, Rejected
+        ):
             self.transport.loseConnection()
 
 
@@ -119,7 +123,7 @@
 
     noisy = False
 
-    def __init__(self, peers: Peers, said: Compare) -> None:
+    def __init__(self, peers: Peers, said: CompareDigests) -> None:
         self.peers, self.said = peers, said
 
     def buildProtocol(self, addr: object) -> Line:
@@ -154,7 +158,7 @@
         self.table, self.host, self.switch, self.wheel = table, host, host.switch, host.switch.wheel
         self.count: Counter[str] = Counter()
         self.encoder = msgspec.msgpack.Encoder()
-        self.datagrams = msgspec.msgpack.Decoder(Datagram | Carried)
+        self.datagrams = msgspec.msgpack.Decoder(Datagram | ComponentMessage)
         self.receivers: dict[str, Callable[[bytes], None]] = {}  # who takes what is carried for a part
         self.streams = msgspec.msgpack.Decoder(Stream)
         self.lines: dict[Line, None] = {}
@@ -168,7 +172,7 @@
         draw = SystemRandom()
         known = self._known()
         incarnation = known.incarnation + 1 if known else 1
-        name, boot = table.member or host.name, draw.getrandbits(BITS)
+        name, boot = table.member or host.name, draw.getrandbits(ID_BITS)
         me = Record(
             name,
             table.address,
@@ -378,8 +382,8 @@
         except (msgspec.DecodeError, msgspec.ValidationError) as e:
             return self.garbage(str(e))
         self.count["datagrams in"] += 1
-        if isinstance(message, Carried):
-            takes = self.receivers.get(message.part)
+        if isinstance(message, ComponentMessage):
+            takes = self.receivers.get(message.component)
             if takes is not None and (message.fleet, message.format) == (self.table.name, FORMAT):
                 takes(message.body)
             return None
@@ -428,8 +432,8 @@
         if self.port is None:
             return
         data = self.encoder.encode(message)
-        while len(data) > LONGEST and getattr(message, "news", None):
-            message = msgspec.structs.replace(message, news=message.news[: len(message.news) // 2])
+        while len(data) > LONGEST and getattr(message, "updates", None):
+            message = msgspec.structs.replace(message, updates=message.updates[: len(message.updates) // 2])
             data = self.encoder.encode(message)
         try:
             self.port.write(data, self._dial(to))
@@ -442,7 +446,7 @@
         """Sends what another part says to its like there; False while the address is not this process's."""
         if self.port is None:
             return False
-        self._send(to, Carried(self.table.name, FORMAT, part, body))
+        self._send(to, ComponentMessage(self.table.name, FORMAT, part, body))
         return True
 
     def _changed(self, change: MemberChanged) -> None:
--- a/softswitch/standin/faults/fleet_simulation.py
+++ b/softswitch/standin/faults/fleet_simulation.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from softswitch.fleet.member import Exchange, Member, MemberChanged, Notice, Periods, Send
-from softswitch.fleet.messages import BITS, ENDED, Record, State
+from softswitch.fleet.messages import ENDED, ID_BITS, Record, State
 from softswitch.standin.faults.links import Links, On
 from softswitch.standin.faults.schedule import Fault, selected
 
@@ -147,7 +147,7 @@
         node.up = True
         self.links.away.discard(node.name)
         me = Record(
-            node.name, node.address, 1, State.JOINING, self.rng.getrandbits(BITS), node.site, "1.0", "c0"
+            node.name, node.address, 1, State.JOINING, self.rng.getrandbits(ID_BITS), node.site, "1.0", "c0"
         )
         seeds = [n.address for n in list(self.nodes.values())[:3]]
         if node.saved and self.rng.random() >= self.forget:  # what its snapshot holds
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -13,7 +13,17 @@
 
 from softswitch.fleet.member import Exchange, Member, MemberChanged, Notice, Periods, Send
 from softswitch.fleet.member_table import KEPT_ENDED, MOST, Table
-from softswitch.fleet.messages import Ack, Compare, Head, Message, News, Ping, Record, Refused, State
+from softswitch.fleet.messages import (
+    Ack,
+    CompareDigests,
+    Header,
+    Message,
+    Ping,
+    Record,
+    Rejected,
+    State,
+    Updates,
+)
 from softswitch.fleet.size import Size
 from softswitch.standin.faults.fleet_simulation import World, play
 from softswitch.standin.faults.schedule import BadSchedule, Fault, drawn, of_json, selected
@@ -32,8 +42,8 @@
 
 
 def told(m, now, *records, sender="n1"):
-    head = Head("f", 1, record(sender), 0)
-    return m.datagram_received(now, News(head, tuple(records)))
+    head = Header("f", 1, record(sender), 0)
+    return m.datagram_received(now, Updates(head, tuple(records)))
 
 
 # the table
@@ -80,7 +90,9 @@
     a, b, late = member("n0"), member("n1"), member("n3")
 
     def exchange(now, one, other):
-        differ, _ = other.exchange_message_received(now, Compare(one._head(), tuple(one.table.buckets)))
+        differ, _ = other.exchange_message_received(
+            now, CompareDigests(one._header(), tuple(one.table.buckets))
+        )
         rest, _ = one.exchange_message_received(now, differ)
         other.exchange_message_received(now, rest)
 
@@ -121,10 +133,13 @@
     codec = msgspec.msgpack.Decoder(Message)
     for good in ("10.0.0.1:65535", "0.0.0.0:1", "255.249.199.99:7946"):
         sender = msgspec.structs.replace(record("n1"), address=good)
-        assert codec.decode(msgspec.msgpack.encode(News(Head("f", 1, sender, 0), ()))).head.me.address == good
+        assert (
+            codec.decode(msgspec.msgpack.encode(Updates(Header("f", 1, sender, 0), ()))).header.sender.address
+            == good
+        )
     sender = msgspec.structs.replace(record("n1"), address=address)
     with pytest.raises(msgspec.ValidationError):
-        codec.decode(msgspec.msgpack.encode(News(Head("f", 1, sender, 0), ())))
+        codec.decode(msgspec.msgpack.encode(Updates(Header("f", 1, sender, 0), ())))
 
 
 # one member
@@ -136,9 +151,9 @@
     acts = told(m, 10.0, msgspec.structs.replace(m.me, state=State.SUSPECT))
     assert m.me.incarnation == 2
     assert m.me.state is State.ALIVE
-    sent = [a for a in acts if isinstance(a, Send) and isinstance(a.message, News)]
+    sent = [a for a in acts if isinstance(a, Send) and isinstance(a.message, Updates)]
     assert sent
-    assert all(a.message.news == (m.me,) for a in sent)
+    assert all(a.message.updates == (m.me,) for a in sent)
     assert any(isinstance(a, Notice) and a.event == "accused" for a in acts)
 
 
@@ -167,16 +182,16 @@
 @pytest.mark.parametrize(
     ("head", "why"),
     [
-        (Head("g", 1, record("n1"), 0), "fleet 'g', this one is 'f'"),
-        (Head("f", 9, record("n1"), 0), "format 9 of messages, 1 is spoken here"),
+        (Header("g", 1, record("n1"), 0), "fleet 'g', this one is 'f'"),
+        (Header("f", 9, record("n1"), 0), "format 9 of messages, 1 is spoken here"),
     ],
 )
 def test_another_fleet_or_format_is_refused_with_a_reason(head, why):
     m = member()
     acts = m.datagram_received(1.0, Ping(head, 1, m.me.key))
-    assert [a.message for a in acts if isinstance(a, Send)] == [Refused(why)]
+    assert [a.message for a in acts if isinstance(a, Send)] == [Rejected(why)]
     assert len(m.table.records) == 1
-    assert m.exchange_message_received(1.0, Compare(head, (0,) * 64))[0] == Refused(why)
+    assert m.exchange_message_received(1.0, CompareDigests(head, (0,) * 64))[0] == Rejected(why)
 
 
 def test_one_that_stood_still_gives_every_wait_its_time_again_and_accuses_nobody():
@@ -220,13 +235,13 @@
 def test_garbage_that_can_be_decoded_changes_nothing_and_each_message_has_a_bound():
     codec = msgspec.msgpack.Decoder(Message)
     big = msgspec.msgpack.encode(
-        News(Head("f", 1, record("n1"), 0), tuple(record(f"n{n}") for n in range(65)))
+        Updates(Header("f", 1, record("n1"), 0), tuple(record(f"n{n}") for n in range(65)))
     )
     for data in (big, b"", b"\x93", msgspec.msgpack.encode([99, 1]), os.urandom(200)):
         with pytest.raises((msgspec.DecodeError, msgspec.ValidationError)):
             codec.decode(data)
     m = member()
-    m.datagram_received(1.0, Ack(Head("f", 1, record("n1"), 0), 12345))  # of a probe that never was
+    m.datagram_received(1.0, Ack(Header("f", 1, record("n1"), 0), 12345))  # of a probe that never was
     assert m.probe is None
 
 
