--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -17,7 +17,7 @@
 
 from softswitch.fleet import member as code
 from softswitch.fleet.member import Member, Send
-from softswitch.fleet.member_table import Table
+from softswitch.fleet.member_table import MemberTable
 from softswitch.fleet.messages import Ping, State
 from softswitch.standin.faults.fleet_simulation import World, play
 from softswitch.standin.faults.schedule import Fault, drawn
@@ -191,8 +191,10 @@
         return ping
 
     return {
-        "an older word overrides a newer one": lambda: patch(Table, "put", merge_any),
-        "an ended life comes back without a new incarnation": lambda: patch(Table, "put", ended_revives),
+        "an older word overrides a newer one": lambda: patch(MemberTable, "put", merge_any),
+        "an ended life comes back without a new incarnation": lambda: patch(
+            MemberTable, "put", ended_revives
+        ),
         "nobody takes back what is said of it": lambda: patch(Member, "_refute", no_refute),
         "taken back in the same incarnation": lambda: patch(Member, "_refute", refute_same),
         "suspicions are dropped, nobody is gone": lambda: patch(Member, "_suspicion_expired", never_confirm),
@@ -204,12 +206,12 @@
         "who is gone is never tried again": lambda: patch(Member, "_retry", no_retry),
         "no news on the back of probes": lambda: patch(Member, "_updates_for", no_news),
         "no exchanges after joining": lambda: patch(Member, "_exchange", no_exchange),
-        "exchanges that find no difference": lambda: patch(Table, "differing", digest_blind),
+        "exchanges that find no difference": lambda: patch(MemberTable, "differing_buckets", digest_blind),
         "a planned stop says nothing": lambda: patch(Member, "leave", no_leave),
         "a planned stop says that it is gone, to nobody": lambda: patch(Member, "leave", leave_as_gone),
         "only the first member is probed": lambda: patch(Member, "_next_target", first_only),
         "any answer ends a probe": lambda: patch(Member, "_ack_received", ack_all),
-        "ended members are forgotten at once": lambda: patch(Table, "put", forget_ended),
+        "ended members are forgotten at once": lambda: patch(MemberTable, "put", forget_ended),
         "a new own incarnation is 1": lambda: patch(Member, "_update_own_record", incarnation_falls),
         "probes name the wrong member": lambda: patch(Member, "_ping", ping_wrong),
         "no helpers are asked": lambda: patch(code, "HELPERS", lambda old: 0),
--- a/softswitch/fleet/member.py
+++ b/softswitch/fleet/member.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from softswitch.fleet.member_table import Table
+from softswitch.fleet.member_table import MemberTable
 from softswitch.fleet.messages import (
     ENDED,
     FORMAT,
@@ -156,7 +156,7 @@
         self.fleet, self.periods, self.rng = fleet, periods, Random(seed)
         self.me = msgspec.structs.replace(me, state=State.JOINING)
         self.seeds = [s for s in seeds if s != me.address]
-        self.table = Table()
+        self.table = MemberTable()
         self.table.put(now, self.me)
         self.actions: list[Action] = []
         self.health = 0  # 0: well; raised by what makes one doubt one's own view
@@ -191,7 +191,7 @@
         """On the back of a probe. One who is accused is told so first: nobody else can take it back."""
         record = self.table.records.get(about)
         accused = record is not None and record.state in (State.SUSPECT, State.GONE)
-        return self.table.news(PIGGYBACK, (about,) if accused else ())
+        return self.table.next_updates(PIGGYBACK, (about,) if accused else ())
 
     def _next_seq(self) -> int:
         self.seq = (self.seq + 1) % (1 << 40)
@@ -225,7 +225,7 @@
             if s.asked == 0 and now >= s.asks_at():
                 s.asked = 1
                 # Of a large fleet some ask, so that what all of them send to one stays bounded.
-                if self.rng.random() * self.table.present() < ASKERS:
+                if self.rng.random() * self.table.count_present() < ASKERS:
                     self._ping(key, self._next_seq())
             if now >= s.ends:
                 self._suspicion_expired(now, key)
@@ -234,7 +234,7 @@
             others = self._others((State.ALIVE, State.JOINING))
             if others:
                 self._exchange(self.table.records[self.rng.choice(others)].address)
-            self.table.forget(now)
+            self.table.remove_expired(now)
         if now >= self.next_retry and not self.leaving:
             self.next_retry = now + self.periods.retry * self.rng.uniform(0.8, 1.2)
             self._retry(now)
@@ -331,7 +331,7 @@
         record = self.table.records.get(key)
         if record is None or record.state in ENDED:
             return
-        if now - self.heard_at > 2 * self.periods.period * self._stretch() and self.table.present() > 2:
+        if now - self.heard_at > 2 * self.periods.period * self._stretch() and self.table.count_present() > 2:
             return  # nobody at all was heard: it is rather this process that hears nothing
         self.counts["accused"] += 1
         self.accuses[key] = None
@@ -342,7 +342,7 @@
         found = self.suspicions.get(record.key)
         if found is not None and found.incarnation == record.incarnation:
             return
-        n = max(1.0, log10(max(1, self.table.present())))
+        n = max(1.0, log10(max(1, self.table.count_present())))
         least = self.periods.suspicion * n * self.periods.period
         longest = self.periods.longest * least
         self.suspicions[record.key] = Suspicion(record.incarnation, now, least, longest, set())
@@ -486,7 +486,7 @@
                 self.actions.append(Send(message.address, ping))
         if (
             header.digest != self.table.digest
-            and not 0 < len(self.table.fresh) <= BACKLOG
+            and not 0 < len(self.table.pending) <= BACKLOG
             and isinstance(message, Ack)
             and now >= self.next_early
             and not self.leaving
@@ -520,14 +520,14 @@
         self.heard_at = now
         if isinstance(message, CompareDigests):
             self._merge(now, (message.header.sender,))
-            differ = self.table.differing(message.buckets)
-            there = self.table.within(differ)
+            differ = self.table.differing_buckets(message.buckets)
+            there = self.table.records_in(differ)
             return DifferingRecords(
-                self._header(), differ, there, self.table.ages(now, there)
+                self._header(), differ, there, self.table.seconds_since_end(now, there)
             ), self._take_actions()
         if isinstance(message, DifferingRecords):
-            there = self.table.within(message.buckets)  # as it was before: no news to them else
-            rest = RemainingRecords(self._header(), there, self.table.ages(now, there))
+            there = self.table.records_in(message.buckets)  # as it was before: no news to them else
+            rest = RemainingRecords(self._header(), there, self.table.seconds_since_end(now, there))
             self._merge(now, (message.header.sender, *message.records), (0, *message.ages))
             self._joined(now)
             return rest, self._take_actions()
--- a/softswitch/fleet/size.py
+++ b/softswitch/fleet/size.py
@@ -12,15 +12,15 @@
 from softswitch.fleet.messages import ENDED, Record
 
 
-class Size:
+class FleetSize:
     """Owner of the number that the module is told."""
 
-    def __init__(self, of_file: int, linger: float) -> None:
-        self.of_file, self.linger = of_file, linger
-        self.size = of_file
+    def __init__(self, configured: int, linger: float) -> None:
+        self.configured, self.linger = configured, linger
+        self.size = configured
         self.until: dict[str, float] = {}  # names that ended: until when they count
 
-    def of(self, now: float, records: Iterable[Record], joined: bool, cut_off: bool) -> int:
+    def update(self, now: float, records: Iterable[Record], joined: bool, cut_off: bool) -> int:
         """The number that holds from now on; to be asked at each change, and once a second."""
         there: set[str] = set()
         ended: set[str] = set()
@@ -32,7 +32,7 @@
             del self.until[name]
         counted = len(there) + sum(now < until for until in self.until.values())
         if not joined:
-            counted = max(counted, self.of_file)
+            counted = max(counted, self.configured)
         if cut_off:
             counted = max(counted, self.size)
         self.size = max(1, counted)
--- a/softswitch/net/peers.py
+++ b/softswitch/net/peers.py
@@ -35,7 +35,7 @@
     State,
     Stream,
 )
-from softswitch.fleet.size import Size
+from softswitch.fleet.size import FleetSize
 from softswitch.storage.snapshot import Snapshot, SnapshotError
 
 LONGEST = 1_400  # bytes of a datagram
@@ -188,7 +188,7 @@
         periods = Periods(period=table.period_ms, answer=table.answer_ms)
         self.member = Member(table.name, me, seeds, periods, draw.getrandbits(64), self.wheel.now)
         deadline = max((c.deadline for c in host.settings.classes), default=0.0) or LONGEST_CALL
-        self.size = Size(host.settings.fleet_size, deadline + LINGER)
+        self.size = FleetSize(host.settings.fleet_size, deadline + LINGER)
         self.told_size = host.settings.fleet_size
         host.calls["/v1/fleet"] = ComponentCall("GET", self.asked)
 
@@ -270,7 +270,7 @@
 
     def reload(self, table: Any, settings: Any) -> str:
         """Takes the settings that changed. Returns the table's name if a change of it needs a restart."""
-        self.size.of_file = settings.fleet_size
+        self.size.configured = settings.fleet_size
         self._do(self.member.now_is(self.wheel.now, self.host.version, settings_digest(settings)))
         self.told_size = settings.fleet_size  # as the switch has it now
         self._resize()
@@ -358,7 +358,7 @@
     def _resize(self) -> None:
         """The module is told how many share what a cold engine bears: more at once, fewer with care."""
         joined = self.member.me.state is not State.JOINING
-        size = self.size.of(self.wheel.now, self.member.known_records(), joined, self.member.cut_off)
+        size = self.size.update(self.wheel.now, self.member.known_records(), joined, self.member.cut_off)
         if size != self.told_size and not self.quiet:
             logger.info("fleet: {} softswitches share what is whole, {} before", size, self.told_size)
             self.told_size = size
@@ -477,7 +477,7 @@
                 "version": r.version,
                 "config": r.config,
                 "mgmt": r.mgmt,
-                "for_ms": round(now - table.since.get(r.key, now)),
+                "for_ms": round(now - table.changed_at.get(r.key, now)),
             }
             for r in sorted(member.known_records(), key=lambda r: r.key)
         ]
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -12,7 +12,7 @@
 import pytest
 
 from softswitch.fleet.member import Exchange, Member, MemberChanged, Notice, Periods, Send
-from softswitch.fleet.member_table import KEPT_ENDED, MOST, Table
+from softswitch.fleet.member_table import MAX_MEMBERS, TOMBSTONE_LIFETIME, MemberTable
 from softswitch.fleet.messages import (
     Ack,
     CompareDigests,
@@ -24,7 +24,7 @@
     State,
     Updates,
 )
-from softswitch.fleet.size import Size
+from softswitch.fleet.size import FleetSize
 from softswitch.standin.faults.fleet_simulation import World, play
 from softswitch.standin.faults.schedule import BadSchedule, Fault, drawn, of_json, selected
 from softswitch.storage.snapshot import Disk, Snapshot, SnapshotError
@@ -58,31 +58,31 @@
     seen = set()
     for _ in range(30):
         rng.shuffle(said)
-        table = Table()
+        table = MemberTable()
         for r in said + rng.sample(said, 20):
             table.put(0.0, r)
         seen.add((table.digest, tuple(table.buckets), frozenset(table.records.items())))
-        assert sum(table.count.values()) == len(table.records) <= MOST
+        assert sum(table.count.values()) == len(table.records) <= MAX_MEMBERS
     assert len(seen) == 1
 
 
 def test_an_end_is_final_for_its_incarnation_and_a_higher_one_is_a_new_life():
-    table = Table()
+    table = MemberTable()
     for state in (State.ALIVE, State.GONE, State.ALIVE, State.SUSPECT):
         table.put(0.0, record("n1", state, 3))
     assert table.records["n1@10.0.0.1:7001"].state is State.GONE
     table.put(5.0, record("n1", State.ALIVE, 4))
     assert table.records["n1@10.0.0.1:7001"].state is State.ALIVE
-    assert table.since["n1@10.0.0.1:7001"] == 5.0
+    assert table.changed_at["n1@10.0.0.1:7001"] == 5.0
 
 
 def test_news_is_passed_on_a_bounded_number_of_times():
-    table = Table()
+    table = MemberTable()
     for n in range(8):
         table.put(0.0, record(f"n{n}"))
-    passed = sum(len(table.news(3)) for _ in range(100))
+    passed = sum(len(table.next_updates(3)) for _ in range(100))
     assert 0 < passed <= 8 * 10
-    assert not table.fresh
+    assert not table.pending
 
 
 def test_a_tombstone_lives_its_time_and_no_longer_whoever_hears_of_it():
@@ -98,22 +98,22 @@
 
     a.table.put(0.0, dead)
     b.table.put(10_000.0, dead)  # heard of it a little later
-    half = KEPT_ENDED / 2
+    half = TOMBSTONE_LIFETIME / 2
     exchange(half, late, a)
     # as old as it is, and no news
-    assert late.table.since[dead.key] == 0.0
-    assert dead.key not in late.table.fresh
-    now = KEPT_ENDED + 5_000.0
-    a.table.forget(now)
+    assert late.table.changed_at[dead.key] == 0.0
+    assert dead.key not in late.table.pending
+    now = TOMBSTONE_LIFETIME + 5_000.0
+    a.table.remove_expired(now)
     assert dead.key not in a.table.records
     assert dead.key in b.table.records
     exchange(now, a, b)
     exchange(now, b, a)
     assert dead.key not in a.table.records  # it does not come back
     for m in (b, late):
-        m.table.forget(KEPT_ENDED + 11_000.0)
+        m.table.remove_expired(TOMBSTONE_LIFETIME + 11_000.0)
         assert dead.key not in m.table.records
-        assert len(m.table.since) == len(m.table.records)
+        assert len(m.table.changed_at) == len(m.table.records)
     assert sum(a.table.count.values()) == len(a.table.records)
 
 
@@ -259,16 +259,16 @@
 
 
 def test_the_number_rises_at_once_and_falls_only_when_the_last_attempts_have_ended():
-    size, all_ = Size(4, linger=10_000.0), [record(f"n{n}") for n in range(6)]
-    assert size.of(0.0, all_[:1], joined=False, cut_off=False) == 4
-    assert size.of(0.0, all_[:2], joined=True, cut_off=False) == 2
-    assert size.of(1.0, all_, joined=True, cut_off=False) == 6
+    size, all_ = FleetSize(4, linger=10_000.0), [record(f"n{n}") for n in range(6)]
+    assert size.update(0.0, all_[:1], joined=False, cut_off=False) == 4
+    assert size.update(0.0, all_[:2], joined=True, cut_off=False) == 2
+    assert size.update(1.0, all_, joined=True, cut_off=False) == 6
     fewer = [*all_[:4], record("n4", State.GONE), record("n5", State.LEFT)]
-    assert size.of(2.0, fewer, joined=True, cut_off=False) == 6
-    assert size.of(10_001.0, fewer, joined=True, cut_off=False) == 6
-    assert size.of(10_003.0, fewer, joined=True, cut_off=True) == 6  # who is cut off can't know
-    assert size.of(10_003.0, fewer, joined=True, cut_off=False) == 4
-    assert size.of(10_004.0, all_, joined=True, cut_off=False) == 6
+    assert size.update(2.0, fewer, joined=True, cut_off=False) == 6
+    assert size.update(10_001.0, fewer, joined=True, cut_off=False) == 6
+    assert size.update(10_003.0, fewer, joined=True, cut_off=True) == 6  # who is cut off can't know
+    assert size.update(10_003.0, fewer, joined=True, cut_off=False) == 4
+    assert size.update(10_004.0, all_, joined=True, cut_off=False) == 6
 
 
 # many members on virtual time
@@ -378,7 +378,7 @@
     with monkeypatch.context() as patch:
         patch.setattr(Member, "_refute", lambda self, now, record: None)
         assert wrong()
-    old = Table.put
+    old = MemberTable.put
 
     def revives(self, now, record, age=0.0):
         held = self.records.get(record.key)
@@ -387,7 +387,7 @@
         return old(self, now, record, age)
 
     with monkeypatch.context() as patch:
-        patch.setattr(Table, "put", revives)
+        patch.setattr(MemberTable, "put", revives)
         assert wrong()
     assert not wrong()
 
