--- a/softswitch/budgets/lease_client.py
+++ b/softswitch/budgets/lease_client.py
@@ -53,7 +53,7 @@
     """For operators."""
 
     kind: NoticeKind
-    why: str = ""
+    details: str = ""
 
 
 Action = SendMessage | Notice
@@ -118,8 +118,8 @@
         for voter in self.plan.voters:
             self._send(voter, message)
 
-    def _note(self, kind: NoticeKind, why: str) -> None:
-        self._actions.append(Notice(kind, why))
+    def _note(self, kind: NoticeKind, details: str) -> None:
+        self._actions.append(Notice(kind, details))
 
     def _take_actions(self, now: float) -> list[Action]:
         while self._own_messages:
@@ -140,8 +140,8 @@
             return
         for name, limits in self.allocator.ledger.limits.items():
             if limits.total < self._totals.get(name, 0):
-                why = f"{name}: {limits.total} slots by another member's file"
-                self._note(NoticeKind.TOTAL_LOWERED, why)
+                details = f"{name}: {limits.total} slots by another member's file"
+                self._note(NoticeKind.TOTAL_LOWERED, details)
             self._totals[name] = limits.total
 
     # what comes in
--- a/softswitch/net/budgets.py
+++ b/softswitch/net/budgets.py
@@ -259,7 +259,7 @@
                 self.unsent += not sent
             elif isinstance(action, Notice):
                 level = "WARNING" if action.kind in WARNINGS else "INFO"
-                logger.log(level, "budgets: {}: {}", action.kind.value, action.why)
+                logger.log(level, "budgets: {}: {}", action.kind.value, action.details)
 
     # management calls
 
--- a/softswitch/standin/faults/budget_simulation.py
+++ b/softswitch/standin/faults/budget_simulation.py
@@ -235,7 +235,7 @@
                 else:
                     self._send(node, act)
             elif isinstance(act, Notice):
-                self.log.append((self.now, f"{node.name}: {act.kind.value}: {act.why}"))
+                self.log.append((self.now, f"{node.name}: {act.kind.value}: {act.details}"))
                 self.lapses += act.kind is NoticeKind.AT_THE_FLOOR
                 self.offices += act.kind is NoticeKind.ELECTED
 
