--- a/softswitch/net/budgets.py
+++ b/softswitch/net/budgets.py
@@ -133,7 +133,7 @@
         switch = self.host.switch
         if switch.peer_process is not None:
             share = FLOOR_SHARE_OF_TWO
-        elif self.peers.port is not None:
+        elif self.peers.datagram_port is not None:
             share = switch.slow_start_share
         else:
             share = 0.0
@@ -208,7 +208,7 @@
         """The process ends."""
 
     def _phase_changed(self, phase: Phase) -> None:
-        if phase is Phase.STOPPING and self.peers.port is not None:
+        if phase is Phase.STOPPING and self.peers.datagram_port is not None:
             self._carry_out(self.client.stop(boot_time_ms()))
 
     # time
@@ -224,14 +224,16 @@
         if due != self._due and self._due > self.wheel.now:
             return
         now = boot_time_ms()
-        if self.peers.port is not None:  # another process speaks for this member while it has the address
+        if (
+            self.peers.datagram_port is not None
+        ):  # another process speaks for this member while it has the address
             self._carry_out(self.client.tick(now))
         self._schedule(now)
 
     def _schedule(self, now: float) -> None:
         """Schedules the next tick; timers are not taken back, an obsolete one does nothing."""
         wait = max(self.wheel.tick, self.client.next_at() - now)
-        due = self.wheel.now + (wait if self.peers.port is not None else NEEDS_INTERVAL)
+        due = self.wheel.now + (wait if self.peers.datagram_port is not None else NEEDS_INTERVAL)
         if due < self._due or self._due <= self.wheel.now:
             self._due = due
             self.wheel.call_at(due, self._tick, due)
@@ -255,7 +257,9 @@
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SendMessage):
-                sent = self.peers.carry(action.to, CHANNEL, self.encoder.encode(action.message))
+                sent = self.peers.send_component_message(
+                    action.to, CHANNEL, self.encoder.encode(action.message)
+                )
                 self.unsent += not sent
             elif isinstance(action, Notice):
                 level = "WARNING" if action.kind in WARNINGS else "INFO"
--- a/softswitch/net/peers.py
+++ b/softswitch/net/peers.py
@@ -1,7 +1,7 @@
-"""The fleet view on the wire: datagrams for probes, a connection for each exchange, and the part's own table.
+"""Transport of the fleet view: UDP datagrams for probes, one TCP connection per exchange, and the snapshot.
 
-Every message is checked whole by msgspec; what can't be read is counted and dropped. Nothing here decides:
-events go to `fleet.member.Member`, its actions are carried out.
+msgspec validates every message completely; undecodable messages are counted and dropped. This module makes no
+protocol decisions: it passes events to `fleet.member.Member` and carries out the returned actions.
 """
 
 from __future__ import annotations
@@ -38,78 +38,79 @@
 from softswitch.fleet.size import FleetSize
 from softswitch.storage.snapshot import Snapshot, SnapshotError
 
-LONGEST = 1_400  # bytes of a datagram
-LONGEST_EXCHANGE = 4 << 20  # bytes of one message of an exchange
-EXCHANGE_BY = 4.0  # s that one may take
-MOST_EXCHANGES = 24  # at once, of either direction
-EACH, MOST_EACH = 100.0, 200  # ms, and datagrams taken in of so many
-AGAIN = 100.0  # ms between two tries to bind the address, which the process before may still hold
-SAVE_EVERY = 2_000.0  # ms between two snapshots
-KIND, VERSION, KEPT = 1, 1, 256  # of the snapshot; members kept in it
-LINGER, LONGEST_CALL = 1_000.0, 9_000.0  # ms; the second where the settings tell no deadline
+MAX_DATAGRAM = 1_400  # bytes
+MAX_EXCHANGE_MESSAGE = 4 << 20  # bytes of one message
+EXCHANGE_TIMEOUT = 4.0  # s for a complete exchange
+MAX_EXCHANGES = 24  # concurrent, incoming and outgoing
+RATE_INTERVAL, MAX_DATAGRAMS_PER_INTERVAL = 100.0, 200  # ms; datagrams accepted per interval
+BIND_RETRY_INTERVAL = 100.0  # ms; the predecessor process may still have the address bound
+SNAPSHOT_INTERVAL = 2_000.0  # ms
+SNAPSHOT_TYPE, SNAPSHOT_VERSION, MAX_SAVED_ADDRESSES = 1, 1, 256  # the last: addresses of other members
+# ms; the default applies if no call class has a deadline
+LINGER_MARGIN, DEFAULT_CALL_DEADLINE = 1_000.0, 9_000.0
 
 
-class Saved(msgspec.Struct, array_like=True, frozen=True):
-    """What the snapshot holds."""
+class SavedState(msgspec.Struct, array_like=True, frozen=True):
+    """The content of the snapshot."""
 
     fleet: str
     key: str
     incarnation: int
-    others: tuple[str, ...]  # addresses
+    other_addresses: tuple[str, ...]
 
 
-class Probes(DatagramProtocol):
-    """The datagram socket."""
+class DatagramSocket(DatagramProtocol):
+    """The UDP socket of the fleet view."""
 
     def __init__(self, peers: Peers) -> None:
         self.peers = peers
 
     def datagramReceived(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Twisted callback: one datagram has arrived."""
-        self.peers.datagram(data)
+        """Passes a received datagram on."""
+        self.peers.datagram_received(data)
 
 
-class Line(Int32StringReceiver):
-    """One exchange, from either end."""
+class ExchangeConnection(Int32StringReceiver):
+    """One exchange, on the opening or the accepting side."""
 
-    MAX_LENGTH = LONGEST_EXCHANGE
+    MAX_LENGTH = MAX_EXCHANGE_MESSAGE
 
-    def __init__(self, peers: Peers, said: CompareDigests | None = None) -> None:
-        self.peers, self.said, self.timer = peers, said, None
+    def __init__(self, peers: Peers, request: CompareDigests | None = None) -> None:
+        self.peers, self.request, self.timer = peers, request, None
 
     def connectionMade(self) -> None:
-        """Twisted callback: the exchange begins, with the request if this end opened it."""
-        self.peers.lines[self] = None
-        self.timer = self.peers.host.reactor.callLater(EXCHANGE_BY, self.transport.abortConnection)
-        if self.said is not None:
-            self.sendString(self.peers.encoder.encode(self.said))
+        """Starts the timeout and, on the opening side, sends the request."""
+        self.peers.exchanges[self] = None
+        self.timer = self.peers.host.reactor.callLater(EXCHANGE_TIMEOUT, self.transport.abortConnection)
+        if self.request is not None:
+            self.sendString(self.peers.encoder.encode(self.request))
 
     def connectionLost(self, reason: object = None) -> None:
-        """Twisted callback: the exchange is over."""
-        self.peers.lines.pop(self, None)
+        """Removes the connection and cancels its timeout."""
+        self.peers.exchanges.pop(self, None)
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """Twisted callback: the other end announced a message that is too long."""
-        self.peers.garbage("an exchange's message is too long")
+        """Aborts the connection if the peer announces a message above `MAX_LENGTH`."""
+        self.peers.count_undecodable("an exchange's message is too long")
         self.transport.abortConnection()
 
     def stringReceived(self, data: bytes) -> None:
-        """Twisted callback: one whole message has arrived."""
+        """Handles one complete message and sends the answer, if there is one."""
         try:
-            message = self.peers.streams.decode(data)
+            message = self.peers.exchange_decoder.decode(data)
         except (msgspec.DecodeError, msgspec.ValidationError) as e:
-            self.peers.garbage(str(e))
+            self.peers.count_undecodable(str(e))
             self.transport.abortConnection()
             return
-        if isinstance(message, DifferingRecords) != (self.said is not None) and not isinstance(
+        if isinstance(message, DifferingRecords) != (self.request is not None) and not isinstance(
             message, Rejected
         ):
-            self.peers.garbage("not what was asked")
+            self.peers.count_undecodable("not what was asked")
             self.transport.abortConnection()
             return
-        answer = self.peers.exchanged(message)
+        answer = self.peers.exchange_message_received(message)
         if answer is not None:
             self.sendString(self.peers.encoder.encode(answer))
         if isinstance(message, DifferingRecords | RemainingRecords | Rejected) or isinstance(
@@ -118,61 +119,66 @@
             self.transport.loseConnection()
 
 
-class Opener(ClientFactory):
-    """Opens one exchange with another member, to send it a request."""
+class ExchangeClientFactory(ClientFactory):
+    """Opens one exchange with another member and sends the request."""
 
     noisy = False
 
-    def __init__(self, peers: Peers, said: CompareDigests) -> None:
-        self.peers, self.said = peers, said
+    def __init__(self, peers: Peers, request: CompareDigests) -> None:
+        self.peers, self.request = peers, request
 
-    def buildProtocol(self, addr: object) -> Line:
-        """Twisted callback: the protocol of the connection that was opened."""
-        return Line(self.peers, self.said)
+    def buildProtocol(self, addr: object) -> ExchangeConnection:
+        """Returns the protocol of the opened connection."""
+        return ExchangeConnection(self.peers, self.request)
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:
-        """Twisted callback: the other member could not be reached."""
-        self.peers.count["exchanges that found nobody"] += 1
+        """Counts a failed connection attempt."""
+        self.peers.counts["exchanges that found nobody"] += 1
 
 
-class Acceptor(Factory):
-    """Accepts the exchanges that other members open."""
+class ExchangeServerFactory(Factory):
+    """Accepts exchanges that other members open."""
 
     noisy = False
 
     def __init__(self, peers: Peers) -> None:
         self.peers = peers
 
-    def buildProtocol(self, addr: object) -> Line | None:
-        """Twisted callback: the protocol of an accepted connection; None closes it, at the bound."""
-        if len(self.peers.lines) >= MOST_EXCHANGES:
-            self.peers.count["exchanges turned away"] += 1
+    def buildProtocol(self, addr: object) -> ExchangeConnection | None:
+        """Returns the protocol of an accepted connection; None closes it if `MAX_EXCHANGES` are open."""
+        if len(self.peers.exchanges) >= MAX_EXCHANGES:
+            self.peers.counts["exchanges turned away"] += 1
             return None
-        return Line(self.peers)
+        return ExchangeConnection(self.peers)
 
 
 class Peers:
-    """The part of a softswitch that keeps the view of its fleet. A `parts.Part`."""
+    """Maintains this softswitch's view of its fleet. A `components.Component`."""
 
     def __init__(self, table: Any, host: Host) -> None:
         self.table, self.host, self.switch, self.wheel = table, host, host.switch, host.switch.wheel
-        self.count: Counter[str] = Counter()
+        self.counts: Counter[str] = Counter()
         self.encoder = msgspec.msgpack.Encoder()
-        self.datagrams = msgspec.msgpack.Decoder(Datagram | ComponentMessage)
-        self.receivers: dict[str, Callable[[bytes], None]] = {}  # who takes what is carried for a part
-        self.streams = msgspec.msgpack.Decoder(Stream)
-        self.lines: dict[Line, None] = {}
-        self.port: Any = None  # where datagrams come
-        self.listener: Any = None  # where exchanges come
-        self.said_busy = False
-        self.taken_in, self.span = 0, 0.0
-        self.due = 0.0
-        self.quiet = False  # the process that replaces this one speaks for the member
-        self.snapshot, self.saving, self.saved, self.failing = self._snapshot(), False, 0, False
-        draw = SystemRandom()
-        known = self._known()
-        incarnation = known.incarnation + 1 if known else 1
-        name, boot = table.member or host.name, draw.getrandbits(ID_BITS)
+        self.datagram_decoder = msgspec.msgpack.Decoder(Datagram | ComponentMessage)
+        self.receivers: dict[str, Callable[[bytes], None]] = {}  # of component messages, by component
+        self.exchange_decoder = msgspec.msgpack.Decoder(Stream)
+        self.exchanges: dict[ExchangeConnection, None] = {}
+        self.datagram_port: Any = None  # None while the address is not bound
+        self.exchange_port: Any = None
+        self.bind_failure_logged = False
+        self.datagrams_in_interval, self.interval_started_at = 0, 0.0
+        self.next_tick_at = 0.0
+        self.handed_over = False  # the successor process acts for the member
+        self.snapshot, self.saving, self.saved_digest, self.write_failing = (
+            self._open_snapshot(),
+            False,
+            0,
+            False,
+        )
+        random = SystemRandom()
+        previous = self._load_state()
+        incarnation = previous.incarnation + 1 if previous else 1
+        name, boot = table.member or host.name, random.getrandbits(ID_BITS)
         me = Record(
             name,
             table.address,
@@ -184,17 +190,17 @@
             settings_digest(host.settings),
             host.management_address,
         )
-        seeds = dict.fromkeys((*table.seeds, *(known.others if known else ())))
+        seeds = dict.fromkeys((*table.seeds, *(previous.other_addresses if previous else ())))
         periods = Periods(period=table.period_ms, answer=table.answer_ms)
-        self.member = Member(table.name, me, seeds, periods, draw.getrandbits(64), self.wheel.now)
-        deadline = max((c.deadline for c in host.settings.classes), default=0.0) or LONGEST_CALL
-        self.size = FleetSize(host.settings.fleet_size, deadline + LINGER)
-        self.told_size = host.settings.fleet_size
-        host.calls["/v1/fleet"] = ComponentCall("GET", self.asked)
+        self.member = Member(table.name, me, seeds, periods, random.getrandbits(64), self.wheel.now)
+        deadline = max((c.deadline for c in host.settings.classes), default=0.0) or DEFAULT_CALL_DEADLINE
+        self.fleet_size = FleetSize(host.settings.fleet_size, deadline + LINGER_MARGIN)
+        self.applied_size = host.settings.fleet_size
+        host.calls["/v1/fleet"] = ComponentCall("GET", self._report_view)
 
-    # the snapshot
+    # snapshot
 
-    def _snapshot(self) -> Snapshot | None:
+    def _open_snapshot(self) -> Snapshot | None:
         if not self.table.folder:
             return None
         folder = Path(self.host.folder, self.table.folder)
@@ -202,61 +208,72 @@
         try:
             folder.mkdir(parents=True, exist_ok=True)
         except OSError as e:
-            self.count["snapshots failed"] += 1
-            logger.warning("fleet: no snapshot, the softswitch serves on from its seeds: {}", e)
+            self.counts["snapshots failed"] += 1
+            logger.warning(
+                "fleet: snapshot folder not created, the softswitch serves on from its seeds: {}", e
+            )
             return None
-        return Snapshot(folder / name, KIND, VERSION)
+        return Snapshot(folder / name, SNAPSHOT_TYPE, SNAPSHOT_VERSION)
+
+    def _load_state(self) -> SavedState | None:
+        """The state that the predecessor process saved.
 
-    def _known(self) -> Saved | None:
-        """What the process before had written. Whatever is wrong with it: one line, and the seeds are
-        there.
+        None if there is none or it is unusable; the latter is logged, and the member joins through its seeds.
         """
         if self.snapshot is None:
             return None
         try:
             found = self.snapshot.read()
-            saved = msgspec.msgpack.decode(found[1], type=Saved) if found else None
+            saved = msgspec.msgpack.decode(found[1], type=SavedState) if found else None
             if saved is not None and saved.fleet != self.table.name:
-                raise SnapshotError(f"{self.snapshot.path}: of fleet {saved.fleet!r}")
+                raise SnapshotError(f"{self.snapshot.path}: belongs to fleet {saved.fleet!r}")
         except (OSError, SnapshotError, msgspec.DecodeError, msgspec.ValidationError) as e:
-            self.count["snapshots unreadable"] += 1
+            self.counts["snapshots unreadable"] += 1
             logger.warning("fleet: snapshot not read, the softswitch serves on from its seeds: {}", e)
             return None
         return saved
 
     def _save(self) -> None:
-        """Each SAVE_EVERY ms, if anything changed; written in a thread, so that the loop waits for no
-        disk.
+        """Writes a snapshot every SNAPSHOT_INTERVAL ms if the view changed.
+
+        A thread writes it, so that the event loop does not wait for the disk.
         """
-        self.wheel.call_at(self.wheel.now + SAVE_EVERY, self._save)
-        if self.snapshot is None or self.saving or self.quiet or self.saved == self.member.table.digest:
+        self.wheel.call_at(self.wheel.now + SNAPSHOT_INTERVAL, self._save)
+        if (
+            self.snapshot is None
+            or self.saving
+            or self.handed_over
+            or self.saved_digest == self.member.table.digest
+        ):
             return
         me, records = self.member.me, self.member.known_records()
-        others = [r.address for r in records if r.state not in ENDED and r.key != me.key][:KEPT]
-        self.saving, self.saved = True, self.member.table.digest
-        saved = Saved(self.table.name, me.key, me.incarnation, tuple(others))
-        self.host.reactor.callInThread(self._write, self.snapshot, self.encoder.encode(saved))
+        others = [r.address for r in records if r.state not in ENDED and r.key != me.key][
+            :MAX_SAVED_ADDRESSES
+        ]
+        self.saving, self.saved_digest = True, self.member.table.digest
+        saved = SavedState(self.table.name, me.key, me.incarnation, tuple(others))
+        self.host.reactor.callInThread(self._write_snapshot, self.snapshot, self.encoder.encode(saved))
 
-    def _write(self, snapshot: Snapshot, record: bytes) -> None:
-        """In a thread, one at a time."""
+    def _write_snapshot(self, snapshot: Snapshot, record: bytes) -> None:
+        """Runs in a thread, one write at a time."""
         try:
             snapshot.write(record)
-            self.count["snapshots"] += 1
-            self.failing = False
+            self.counts["snapshots"] += 1
+            self.write_failing = False
         except OSError as e:
-            self.count["snapshots failed"] += 1
-            self.saved = 0  # tried again
-            if not self.failing:
+            self.counts["snapshots failed"] += 1
+            self.saved_digest = 0  # forces a retry
+            if not self.write_failing:
                 logger.warning("fleet: snapshot not written, the softswitch serves on without: {}", e)
-            self.failing = True
+            self.write_failing = True
         finally:
             self.saving = False
 
-    # as a part
+    # component interface
 
     def start(self) -> None:
-        """Binds the address, joins the fleet and begins to probe."""
-        self.switch.lifecycle.on_change.append(self._phase)
+        """Binds the address, joins the fleet and starts probing."""
+        self.switch.lifecycle.on_change.append(self._phase_changed)
         logger.info(
             "fleet: {} in fleet {}, site {!r}, {} seeds",
             self.member.me.key,
@@ -265,205 +282,216 @@
             len(self.member.seeds),
         )
         self._bind()
-        self.wheel.call_at(self.wheel.now + SAVE_EVERY, self._save)
-        self.wheel.call_at(self.wheel.now + 1_000.0, self._sizes)
+        self.wheel.call_at(self.wheel.now + SNAPSHOT_INTERVAL, self._save)
+        self.wheel.call_at(self.wheel.now + 1_000.0, self._check_size_periodically)
 
     def reload(self, table: Any, settings: Any) -> str:
-        """Takes the settings that changed. Returns the table's name if a change of it needs a restart."""
-        self.size.configured = settings.fleet_size
-        self._do(self.member.now_is(self.wheel.now, self.host.version, settings_digest(settings)))
-        self.told_size = settings.fleet_size  # as the switch has it now
-        self._resize()
+        """Applies changed settings. Returns the table's name if a change of it needs a restart."""
+        self.fleet_size.configured = settings.fleet_size
+        self._carry_out(self.member.now_is(self.wheel.now, self.host.version, settings_digest(settings)))
+        self.applied_size = settings.fleet_size  # the reload has already applied it to the switch
+        self._apply_size()
         return "" if table == self.table else "fleet"
 
     def figures(self) -> dict[str, Any]:
-        """Counts for `GET /metrics` and the view: members by state, messages, exchanges."""
+        """Counts for `GET /metrics`: members by state, messages, exchanges."""
         count = self.member.table.count
-        counts = dict(self.count) | self.member.counts  # a copy in one step: a thread may add to it meanwhile
+        counts = dict(self.counts) | self.member.counts  # one atomic copy: the snapshot thread may add a key
         return {
             "alive": count[State.ALIVE] + count[State.JOINING],
             "suspect": count[State.SUSPECT],
             "gone": count[State.GONE],
             "left": count[State.LEFT],
             "cut_off": self.member.cut_off,
-            "size": self.told_size,
+            "size": self.applied_size,
             "health": self.member.health,
             **{what.replace(" ", "_"): n for what, n in counts.items()},
         }
 
     def stop(self) -> None:
-        """Closes the sockets; a planned stop was announced by the lifecycle before."""
+        """Closes the sockets. A planned stop has been announced already, see `_phase_changed`."""
         self._close()
 
-    # the address
+    # address
 
     def _bind(self) -> None:
-        """Where the process before still holds the address, it is tried again: the two are one member."""
-        if self.port is not None or self.quiet:
+        """Binds the address; retries while the predecessor process of the same member still has it bound."""
+        if self.datagram_port is not None or self.handed_over:
             return
         host, _, port = self.table.address.rpartition(":")
         try:
-            self.port = self.host.reactor.listenUDP(int(port), Probes(self), host, maxPacketSize=65_536)
-            self.listener = self.host.reactor.listenTCP(int(port), Acceptor(self), 64, host)
+            self.datagram_port = self.host.reactor.listenUDP(
+                int(port), DatagramSocket(self), host, maxPacketSize=65_536
+            )
+            self.exchange_port = self.host.reactor.listenTCP(int(port), ExchangeServerFactory(self), 64, host)
         except CannotListenError as e:
-            if self.port is not None:
-                self.port.stopListening()
-                self.port = None
-            if not self.said_busy:
-                logger.warning("fleet: address not free yet, tried again: {}", e)
-            self.said_busy = True
-            self.wheel.call_at(self.wheel.now + AGAIN, self._bind)
+            if self.datagram_port is not None:
+                self.datagram_port.stopListening()
+                self.datagram_port = None
+            if not self.bind_failure_logged:
+                logger.warning("fleet: address still in use, binding is retried: {}", e)
+            self.bind_failure_logged = True
+            self.wheel.call_at(self.wheel.now + BIND_RETRY_INTERVAL, self._bind)
             return
-        self.said_busy = False
-        self.member.next_tick_due = self.wheel.now  # it waited by itself: no standstill
+        self.bind_failure_logged = False
+        self.member.next_tick_due = self.wheel.now  # waiting for the address is no stall
         self._tick(self.wheel.now)
 
     def _close(self) -> None:
-        for port in (self.port, self.listener):
+        for port in (self.datagram_port, self.exchange_port):
             if port is not None:
                 port.stopListening()
-        self.port = self.listener = None
-        for line in list(self.lines):
-            line.transport.abortConnection()
-
-    def _phase(self, phase: Phase) -> None:
-        life = self.switch.lifecycle
-        if life.handed_over and not self.quiet:
-            self.quiet = True  # without a word: the member goes on in the next process
+        self.datagram_port = self.exchange_port = None
+        for connection in list(self.exchanges):
+            connection.transport.abortConnection()
+
+    def _phase_changed(self, phase: Phase) -> None:
+        lifecycle = self.switch.lifecycle
+        if lifecycle.handed_over and not self.handed_over:
+            self.handed_over = True  # not announced: the successor process continues as the same member
             self._close()
-        elif not life.handed_over and self.quiet:
-            self.quiet = False
+        elif not lifecycle.handed_over and self.handed_over:
+            self.handed_over = False
             self._bind()
-        if phase is Phase.STOPPING and not self.quiet:
-            self._do(self.member.leave(self.wheel.now))
+        if phase is Phase.STOPPING and not self.handed_over:
+            self._carry_out(self.member.leave(self.wheel.now))
 
-    # time
+    # timers
 
     def _tick(self, due: float) -> None:
-        if self.port is None or (due != self.due and self.due > self.wheel.now):
+        if self.datagram_port is None or (due != self.next_tick_at and self.next_tick_at > self.wheel.now):
             return
-        self._do(self.member.tick(self.wheel.now))
+        self._carry_out(self.member.tick(self.wheel.now))
 
-    def _arm(self) -> None:
-        """The next tick is due when the member says; timers are not taken back, a moot one does nothing."""
+    def _schedule_tick(self) -> None:
+        """Schedules the member's next tick. Timers are not cancelled: `_tick` ignores an obsolete one."""
         due = max(self.member.next_at(), self.wheel.now + self.wheel.tick)
-        if due < self.due or self.due <= self.wheel.now:
-            self.due = due
+        if due < self.next_tick_at or self.next_tick_at <= self.wheel.now:
+            self.next_tick_at = due
             self.wheel.call_at(due, self._tick, due)
 
-    def _sizes(self) -> None:
-        self.wheel.call_at(self.wheel.now + 1_000.0, self._sizes)
-        self._resize()
+    def _check_size_periodically(self) -> None:
+        self.wheel.call_at(self.wheel.now + 1_000.0, self._check_size_periodically)
+        self._apply_size()
+
+    def _apply_size(self) -> None:
+        """Applies a changed fleet size to the switch, which divides slow start and probes of engines by it.
 
-    def _resize(self) -> None:
-        """The module is told how many share what a cold engine bears: more at once, fewer with care."""
+        `FleetSize` raises the size at once and lowers it with a delay.
+        """
         joined = self.member.me.state is not State.JOINING
-        size = self.size.update(self.wheel.now, self.member.known_records(), joined, self.member.cut_off)
-        if size != self.told_size and not self.quiet:
-            logger.info("fleet: {} softswitches share what is whole, {} before", size, self.told_size)
-            self.told_size = size
+        size = self.fleet_size.update(
+            self.wheel.now, self.member.known_records(), joined, self.member.cut_off
+        )
+        if size != self.applied_size and not self.handed_over:
+            logger.info("fleet: size changed to {}, was {}", size, self.applied_size)
+            self.applied_size = size
             self.switch.apply_fleet_size(size)
 
-    # what comes in
+    # received messages
 
-    def datagram(self, data: bytes) -> None:
-        """Takes in one datagram, within the limit of datagrams of one interval."""
+    def datagram_received(self, data: bytes) -> None:
+        """Handles one datagram; drops it above MAX_DATAGRAMS_PER_INTERVAL."""
         now = self.wheel.now
-        if now - self.span >= EACH:
-            self.span, self.taken_in = now, 0
-        self.taken_in += 1
-        if self.taken_in > MOST_EACH:
-            self.count["datagrams dropped in a flood"] += 1
+        if now - self.interval_started_at >= RATE_INTERVAL:
+            self.interval_started_at, self.datagrams_in_interval = now, 0
+        self.datagrams_in_interval += 1
+        if self.datagrams_in_interval > MAX_DATAGRAMS_PER_INTERVAL:
+            self.counts["datagrams dropped in a flood"] += 1
             return None
-        if len(data) > LONGEST:
-            return self.garbage("a datagram is too long")
+        if len(data) > MAX_DATAGRAM:
+            return self.count_undecodable("a datagram is too long")
         try:
-            message = self.datagrams.decode(data)
+            message = self.datagram_decoder.decode(data)
         except (msgspec.DecodeError, msgspec.ValidationError) as e:
-            return self.garbage(str(e))
-        self.count["datagrams in"] += 1
+            return self.count_undecodable(str(e))
+        self.counts["datagrams in"] += 1
         if isinstance(message, ComponentMessage):
-            takes = self.receivers.get(message.component)
-            if takes is not None and (message.fleet, message.format) == (self.table.name, FORMAT):
-                takes(message.body)
+            receiver = self.receivers.get(message.component)
+            if receiver is not None and (message.fleet, message.format) == (self.table.name, FORMAT):
+                receiver(message.body)
             return None
-        self._do(self.member.datagram_received(now, message))
+        self._carry_out(self.member.datagram_received(now, message))
         return None
 
-    def garbage(self, why: str) -> None:
-        """Counts a message that can't be decoded, and logs the first one."""
-        self.count["messages that can't be read"] += 1
-        if self.count["messages that can't be read"] == 1:
-            logger.warning("fleet: a message that can't be read, dropped, and others like it: {:.120}", why)
+    def count_undecodable(self, reason: str) -> None:
+        """Counts an undecodable message, and logs the first one."""
+        self.counts["messages that can't be read"] += 1
+        if self.counts["messages that can't be read"] == 1:
+            logger.warning(
+                "fleet: undecodable message dropped, further ones are counted only: {:.120}", reason
+            )
 
-    def exchanged(self, message: Any) -> Any:
-        """The answer of this member to a message of an exchange; None ends the exchange."""
+    def exchange_message_received(self, message: Any) -> Any:
+        """Returns this member's answer to a message of an exchange, or None."""
         answer, actions = self.member.exchange_message_received(self.wheel.now, message)
-        self._do(actions)
+        self._carry_out(actions)
         return answer
 
-    # what goes out
+    # sent messages
 
-    def _dial(self, address: str) -> tuple[str, int]:
+    def _dial_address(self, address: str) -> tuple[str, int]:
         host, _, port = self.table.dial.get(address, address).rpartition(":")
         return host, int(port)
 
-    def _do(self, actions: list[Any]) -> None:
-        resize = False
+    def _carry_out(self, actions: list[Any]) -> None:
+        size_may_change = False
         for a in actions:
             if isinstance(a, Send):
                 self._send(a.to, a.message)
             elif isinstance(a, Exchange):
-                if len(self.lines) < MOST_EXCHANGES and self.port is not None:
-                    self.host.reactor.connectTCP(*self._dial(a.to), Opener(self, a.request), timeout=1.0)
+                if len(self.exchanges) < MAX_EXCHANGES and self.datagram_port is not None:
+                    self.host.reactor.connectTCP(
+                        *self._dial_address(a.to), ExchangeClientFactory(self, a.request), timeout=1.0
+                    )
             elif isinstance(a, MemberChanged):
-                resize = True
-                self._changed(a)
+                size_may_change = True
+                self._log_change(a)
             elif isinstance(a, Notice):
-                self.count[f"told: {a.event}"] += 1
+                self.counts[f"told: {a.event}"] += 1
                 level = "INFO" if a.event == "sees a majority" else "WARNING"
                 logger.log(level, "fleet: {}: {}", a.event, a.details)
-        if resize:
-            self._resize()
-        if self.port is not None:
-            self._arm()
+        if size_may_change:
+            self._apply_size()
+        if self.datagram_port is not None:
+            self._schedule_tick()
 
     def _send(self, to: str, message: Any) -> None:
-        if self.port is None:
+        if self.datagram_port is None:
             return
         data = self.encoder.encode(message)
-        while len(data) > LONGEST and getattr(message, "updates", None):
+        while len(data) > MAX_DATAGRAM and getattr(message, "updates", None):
             message = msgspec.structs.replace(message, updates=message.updates[: len(message.updates) // 2])
             data = self.encoder.encode(message)
         try:
-            self.port.write(data, self._dial(to))
-            self.count["datagrams out"] += 1
-            self.count["bytes out"] += len(data)
+            self.datagram_port.write(data, self._dial_address(to))
+            self.counts["datagrams out"] += 1
+            self.counts["bytes out"] += len(data)
         except (OSError, ValueError):
-            self.count["datagrams not sent"] += 1
+            self.counts["datagrams not sent"] += 1
 
-    def carry(self, to: str, part: str, body: bytes) -> bool:
-        """Sends what another part says to its like there; False while the address is not this process's."""
-        if self.port is None:
+    def send_component_message(self, to: str, component: str, body: bytes) -> bool:
+        """Sends a message to the same component of another member. False while the address is not bound."""
+        if self.datagram_port is None:
             return False
-        self._send(to, ComponentMessage(self.table.name, FORMAT, part, body))
+        self._send(to, ComponentMessage(self.table.name, FORMAT, component, body))
         return True
 
-    def _changed(self, change: MemberChanged) -> None:
-        record, was = change.record, change.previous_state
-        before = "not known" if was is None else was.name.lower()
+    def _log_change(self, change: MemberChanged) -> None:
+        record, previous_state = change.record, change.previous_state
+        before = "not known" if previous_state is None else previous_state.name.lower()
         logger.info(
-            "fleet: {} {}, {} before, incarnation {}",
+            "fleet: {} is {}, was {}, incarnation {}",
             record.key,
             record.state.name.lower(),
             before,
             record.incarnation,
         )
 
-    # what is told
+    # management calls
 
-    def asked(self, rest: str) -> tuple[int, dict[str, Any]]:
-        """GET /v1/fleet"""
+    def _report_view(self, rest: str) -> tuple[int, dict[str, Any]]:
+        """GET /v1/fleet."""
         member, now = self.member, self.wheel.now
         table = member.table
         members = [
@@ -487,7 +515,7 @@
             "cut_off": member.cut_off,
             "joined": member.me.state is not State.JOINING,
             "digest": f"{table.digest:016x}",
-            "size": self.told_size,
+            "size": self.applied_size,
             "names_taken": list(member.taken),
             "refused": member.refusals,
             "sites": member.sites(),
@@ -496,8 +524,8 @@
 
 
 def make(table: Any, host: Host) -> Peers:
-    """Makes the component from the operator file's table. ValueError if the member's name is not usable."""
+    """Makes the component from the operator file's table. ValueError if the member's name is unusable."""
     name = host.name if not table.member else table.member
     if not 0 < len(name) <= 64:
-        raise ValueError(f"`member`: {name!r:.70} is no name of 1 to 64 characters")
+        raise ValueError(f"`member`: {name!r:.70} is not a name of 1 to 64 characters")
     return Peers(table, host)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -115,7 +115,7 @@
         assert made[2].stage.program.wait(10) == 0
         until(lambda: states(made, *made[:2]) == everyone | {"n2": "left"}, logs)
         # its last attempts may still be out
-        assert "fleet: 2 softswitches share what is whole" not in made[0].said()
+        assert "fleet: size changed to 2," not in made[0].said()
         assert "fault" not in logs()
         assert "ERROR" not in logs()
 
@@ -139,8 +139,8 @@
 
         until(came_back, lambda: made[0].said() + made[2].said())
         for p in made[:2]:
-            assert "n2@" + written(made[2].at) + " gone" not in p.said(), p.said()
-            assert "n2@" + written(made[2].at) + " left" not in p.said(), p.said()
+            assert "n2@" + written(made[2].at) + " is gone" not in p.said(), p.said()
+            assert "n2@" + written(made[2].at) + " is left" not in p.said(), p.said()
 
 
 def test_another_fleet_a_stranger_and_a_name_that_is_taken(tmp_path):
@@ -159,8 +159,8 @@
         for n in range(3_000):
             out.sendto(os.urandom(n % 90), made[0].at)
         out.close()
-        until(lambda: "a message that can't be read, dropped" in made[0].said(), made[0].said)
-        assert made[0].said().count("a message that can't be read") == 1
+        until(lambda: "undecodable message dropped" in made[0].said(), made[0].said)
+        assert made[0].said().count("undecodable message") == 1
         made[0].stage.play("""
             c0 send INVITE 1
             e0 expect SET_UP {1}
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -5,17 +5,17 @@
 
 from softswitch.measure.recordfile import read
 from softswitch.measure.streams import measured
-from softswitch.net.peers import KIND, VERSION, Saved
+from softswitch.net.peers import SNAPSHOT_TYPE, SNAPSHOT_VERSION, SavedState
 from softswitch.storage.snapshot import Snapshot
 
 DATA = ROOT / "tests" / "data"
 
 
 def test_a_fleet_snapshot():
-    version, record = Snapshot(DATA / "fleet-020d907.snapshot", KIND, VERSION).read()
-    assert version == VERSION
-    saved = msgspec.msgpack.decode(record, type=Saved)
-    assert saved == Saved("tana", "n0@10.1.0.4:7946", 7, ("10.2.0.4:7946", "10.3.0.4:7946"))
+    version, record = Snapshot(DATA / "fleet-020d907.snapshot", SNAPSHOT_TYPE, SNAPSHOT_VERSION).read()
+    assert version == SNAPSHOT_VERSION
+    saved = msgspec.msgpack.decode(record, type=SavedState)
+    assert saved == SavedState("tana", "n0@10.1.0.4:7946", 7, ("10.2.0.4:7946", "10.3.0.4:7946"))
 
 
 def test_a_traffic_record():
