--- a/softswitch/budgets/plan.py
+++ b/softswitch/budgets/plan.py
@@ -1,8 +1,8 @@
-"""Budgets as the operator file names them, in slots; and the times that all members have to share.
+"""The budgets of the operator file, converted to slots, and the lease times that all members have in common.
 
-A budget's total is counted in slots. A slot can be used once in `window` ms, by one member at a time; so in
-any `window` ms no more is spent than there are slots. A share of something (what warming engines bear,
-probes) is divided into SHARES slots that are held and not used up.
+A budget's total is counted in slots. Only one member at a time may use a slot, once in `window` ms, so in any
+`window` ms at most as many uses happen as there are slots. A shared resource (the capacity of warming
+engines, probes) is divided into SHARE_SLOTS slots that are held and not used up.
 """
 
 from __future__ import annotations
@@ -13,42 +13,42 @@
 
 from softswitch import interface as i
 
-SHARES = 1_000  # slots of a budget that is a share
-CALLS, RETRIES = "set-ups", "repeats"  # resources that are used up: first attempts, retries
-SHARED = (i.SHARED_SLOW_START, i.SHARED_PROBES)  # resources that are held as a share
-RESOURCES = (CALLS, RETRIES, *SHARED)
+SHARE_SLOTS = 1_000  # slots of a budget of a shared resource
+CALLS, RETRIES = "set-ups", "repeats"  # consumed resources: first attempts, retries
+SHARED_RESOURCES = (i.SHARED_SLOW_START, i.SHARED_PROBES)  # resources of which members hold a share
+RESOURCES = (CALLS, RETRIES, *SHARED_RESOURCES)
 MAX_DRIFT = 0.1
 
 
 class PlanError(ValueError):
-    """A plan that can't be kept; the text names the budget and the figures."""
+    """An invalid plan. The text names the budget and the figures."""
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """One budget."""
+    """One budget, in slots."""
 
     name: str
-    resource: str  # of RESOURCES
+    resource: str  # one of RESOURCES
     total: int  # slots
-    floor: int = 0  # slots that each member on the roster holds, whatever happens
+    floor: int = 0  # slots that each member on the roster may use without a lease
     window: float = 1_000.0  # ms in which a slot can be used once
-    call_class: str = ""  # of calls; empty: all
-    engine: str = ""  # quote engine; empty: all
+    call_class: str = ""  # empty: all
+    engine: str = ""  # empty: all
 
     def __post_init__(self) -> None:
         if self.resource not in RESOURCES:
             raise PlanError(f"{self.name}: `what` is one of {', '.join(RESOURCES)}")
         if self.total < 1 or self.floor < 0 or not self.window > 0:
             raise PlanError(
-                f"{self.name}: a whole of {self.total} slots and a floor of {self.floor} can't be "
-                "kept; raise `whole` or `over_s`"
+                f"{self.name}: a total of {self.total} slots and a floor of {self.floor} are "
+                "invalid; raise `whole` or `over_s`"
             )
 
     @property
     def is_share(self) -> bool:
-        """Whether its slots are held and not used up."""
-        return self.resource in SHARED
+        """Whether its slots are held and not used up: a budget of a shared resource."""
+        return self.resource in SHARED_RESOURCES
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,28 +61,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """All budgets, who has a floor, who votes, and the times.
+    """All budgets, the roster, the voters and the lease times.
 
-    `drift`: no member's clock runs faster or slower than true time by more than this share. All safety rests
-    on it, and on nothing else: no clock is compared with another one.
+    `drift`: no member's clock runs faster or slower than true time by more than this ratio. Safety depends on
+    this assumption alone: clocks of different members are never compared.
     """
 
     budgets: tuple[Budget, ...]
     members: tuple[str, ...]  # the roster: addresses that have a floor
-    voters: tuple[str, ...]  # who choose the allocator, and of whom one is it
-    lease: float = 4_000.0  # ms that slots are granted for, from when they were asked for
-    promise: float = 3_000.0  # ms that a voter promises itself to one allocator
+    voters: tuple[str, ...]  # they elect the allocator from among themselves
+    lease: float = 4_000.0  # ms that a grant is valid, from the time of its request
+    promise: float = 3_000.0  # ms that a voter's promise to one allocator is valid
     drift: float = 0.01
     by_name: dict[str, Budget] = field(init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
         object.__setattr__(self, "by_name", {b.name: b for b in self.budgets})
         if len(self.by_name) != len(self.budgets):
-            raise PlanError("a budget's name is there twice")
+            raise PlanError("the name of a budget is used twice")
         if not self.voters:
-            raise PlanError("`voters`: nobody chooses an allocator")
+            raise PlanError("`voters` is empty: no allocator can be elected")
         if not 0 <= self.drift <= MAX_DRIFT:
-            raise PlanError("`drift` is a share from 0 to 0.1")
+            raise PlanError("`drift` is a ratio from 0 to 0.1")
         for budget in self.budgets:
             self._check_floors(budget)
 
@@ -92,38 +92,37 @@
         if floors > budget.total:
             raise PlanError(
                 f"{budget.name}: the floors of {members} members sum to {floors} "
-                f"slots, the whole is {budget.total}; lower `floor`"
+                f"slots, more than the total of {budget.total}; lower `floor`"
             )
 
     def floor_of(self, name: str, member: str) -> int:
-        """The floor of a member, by its address."""
+        """The floor of a member, given its address."""
         budget = self.by_name.get(name)
         return budget.floor if budget is not None and member in self.members else 0
 
     @property
     def quorum(self) -> int:
-        """Voters that are more than half."""
+        """The smallest number of voters that is a majority."""
         return len(self.voters) // 2 + 1
 
     @property
     def leadership(self) -> float:
-        """Ms of its own clock that an allocator may count on promises, from when it asked for them.
+        """Ms of its own clock that an allocator may rely on promises, from the time it requested them.
 
-        In true time it is over before any voter's promise is.
+        In true time this ends before any voter's promise does.
         """
         return self.promise * (1 - self.drift) / (1 + self.drift)
 
     @property
     def lease_bound(self) -> float:
-        """Ms of its own clock after which an allocator may count on a lease being over that was asked for
-        before.
+        """Ms of its own clock after which an allocator may rely on the expiry of an earlier requested lease.
 
-        The holder's clock may be the slowest, its own the fastest.
+        Covers the worst case: the holder's clock is the slowest, the allocator's the fastest.
         """
         return self.lease * (1 + self.drift) / (1 - self.drift)
 
     def cooldown(self, budget: Budget) -> float:
-        """Ms of one's own clock that surely cover the budget's window in true time."""
+        """Ms of the own clock that cover the budget's window in true time at any permitted drift."""
         return budget.window * (1 + self.drift)
 
     @property
@@ -133,13 +132,13 @@
 
 
 def strictest_limits(plan: Plan, reported: Iterable[dict[str, Limits]]) -> dict[str, Limits]:
-    """The limits of each budget of the plan that hold where members run other files.
+    """The limits of each budget of the plan if members have different files.
 
-    The lowest total and the highest floor of all.
+    These are the lowest total and the highest floor of all.
     """
     limits = {b.name: Limits(b.total, b.floor) for b in plan.budgets}
-    for other in reported:
-        for name, theirs in other.items():
+    for limits_by_name in reported:
+        for name, theirs in limits_by_name.items():
             own = limits.get(name)
             if own is not None:
                 limits[name] = Limits(min(own.total, theirs.total), max(own.floor, theirs.floor))
@@ -147,7 +146,7 @@
 
 
 def make_plan(budgets: Any, allocation: Any) -> Plan:
-    """The plan that an operator file's two tables make; PlanError names the budget that can't be kept."""
+    """Makes the plan from the operator file's tables `budgets` and `allocation`. PlanError if invalid."""
     return Plan(
         tuple(_make_budget(table) for table in budgets),
         allocation.members,
--- a/softswitch/budgets/spending.py
+++ b/softswitch/budgets/spending.py
@@ -1,7 +1,7 @@
-"""What this process may spend now, what it spent, and what it would. Fulfils `interface.Constraints`.
+"""Spending of budgets by this process: limits, use and demand. Implements `interface.Constraints`.
 
-The module asks before it decides, and reports what it did. The clock is handed in and read at each question:
-a process that was stopped in the middle of its work must not spend on by a time from before.
+The decision module queries it before a decision and reports the result. The injected clock is read at each
+query: a process that was paused in the middle of its work must not go on spending by an outdated time.
 """
 
 from __future__ import annotations
@@ -10,22 +10,23 @@
 from math import ceil, exp, sqrt
 
 from softswitch.budgets.lease_holder import Need, Needs
-from softswitch.budgets.plan import CALLS, RETRIES, SHARES, Budget, Plan
+from softswitch.budgets.plan import CALLS, RETRIES, SHARE_SLOTS, Budget, Plan
 from softswitch.budgets.sliding_window import SlidingWindow
 
-FAST, SLOW = 1_500.0, 10_000.0  # ms; two means of the load
-LOAD_MOVED = 3.0  # standard deviations of the fast mean from the slow one, from which on the load has moved
-WEIGHT_SMOOTHING = 20
-MIN_SHARE_LOAD = 0.05  # calls in SLOW ms below which no share is needed
+FAST_TIME_CONSTANT, SLOW_TIME_CONSTANT = 1_500.0, 10_000.0  # ms; of the two moving averages of the load
+CHANGE_THRESHOLD = 3.0  # standard deviations between the two averages that count as a change of the load
+WEIGHT_SMOOTHING = 20  # calls
+MIN_SHARE_LOAD = 0.05  # calls in SLOW_TIME_CONSTANT ms below which no share is needed
 MIN_SLOT_LOAD = 0.02  # slots below which none is needed
 MIN_SHARE_WEIGHT = 1e-3
 
 
 class OfferedLoad:
-    """How much is asked for, and its mean weight.
+    """Rate and mean weight of the offered load.
 
-    A slow mean, so that what comes unevenly by itself moves no slots; once the fast one differs by more than
-    that can explain, the load has moved, and the fast one holds.
+    The rate is a slow moving average, so that random variation moves no slots. When the fast average differs
+    from it by more than random variation explains, the load has changed, and the fast average replaces the
+    slow one.
     """
 
     __slots__ = ("fast", "slow", "updated_at", "weight")
@@ -36,32 +37,33 @@
         self.updated_at = now
         self.weight = 1.0
 
-    def _age(self, now: float) -> None:
+    def _decay(self, now: float) -> None:
         elapsed = now - self.updated_at
         if elapsed > 0:
-            self.fast *= exp(-elapsed / FAST)
-            self.slow *= exp(-elapsed / SLOW)
+            self.fast *= exp(-elapsed / FAST_TIME_CONSTANT)
+            self.slow *= exp(-elapsed / SLOW_TIME_CONSTANT)
             self.updated_at = now
 
     def add(self, now: float, weight: float) -> None:
-        """One more is asked for."""
-        self._age(now)
-        self.fast += 1 / FAST
-        self.slow += 1 / SLOW
+        """Counts one offered call or attempt."""
+        self._decay(now)
+        self.fast += 1 / FAST_TIME_CONSTANT
+        self.slow += 1 / SLOW_TIME_CONSTANT
         self.weight += (weight - self.weight) / WEIGHT_SMOOTHING
 
     def rate(self, now: float) -> float:
-        """Per ms."""
-        self._age(now)
-        # Such a mean of events that come by themselves has half the variance of their number in that time.
-        spread = LOAD_MOVED * sqrt(max(self.fast, self.slow) * FAST / 2) + 1
-        if abs(self.fast - self.slow) * FAST > spread:
+        """The current rate per ms."""
+        self._decay(now)
+        # For random (Poisson) arrivals such an average has half the variance of a count over the time
+        # constant.
+        threshold = CHANGE_THRESHOLD * sqrt(max(self.fast, self.slow) * FAST_TIME_CONSTANT / 2) + 1
+        if abs(self.fast - self.slow) * FAST_TIME_CONSTANT > threshold:
             self.slow = self.fast
         return self.slow
 
 
 class BudgetUse:
-    """One budget, as this process uses it."""
+    """This process's use of one budget."""
 
     def __init__(self, budget: Budget, now: float, drift: float) -> None:
         self.budget = budget
@@ -71,13 +73,13 @@
         self.spent = 0
         self.rejected = 0
 
-    def limits(self, resource: str, call_class: str, engine: str) -> bool:
-        """Whether the budget is one of that resource, for that class and engine."""
+    def applies_to(self, resource: str, call_class: str, engine: str) -> bool:
+        """Whether the budget limits that resource for that class and engine."""
         b = self.budget
         return b.resource == resource and b.call_class in ("", call_class) and b.engine in ("", engine)
 
     def spend(self, now: float) -> None:
-        """One slot is used."""
+        """Uses one slot."""
         self.spent += 1
         self.window.use(now)
 
@@ -87,37 +89,37 @@
 
 
 class Spending:
-    """Owner of the uses. `held` tells the slots that are held at a time (floor and lease)."""
+    """Checks and counts the use of all budgets. `held` returns the usable slots: floor and lease."""
 
     def __init__(self, plan: Plan, held: Callable[[float, str], int], clock: Callable[[], float]) -> None:
         self.held = held
         self.clock = clock
         self.uses: dict[str, BudgetUse] = {}  # by budget
-        self.of_calls: list[BudgetUse] = []  # asked as a call comes
-        self.of_attempts: list[BudgetUse] = []  # asked before each attempt
+        self.call_uses: list[BudgetUse] = []  # checked when a call arrives
+        self.attempt_uses: list[BudgetUse] = []  # checked before each attempt
         self.set_plan(plan)
 
     def set_plan(self, plan: Plan) -> None:
-        """What was used stays used, whatever the file says now: a budget's window does not change."""
-        before, self.uses = self.uses, {}
+        """Replaces the plan. Counted uses are retained: a budget's window does not change."""
+        previous, self.uses = self.uses, {}
         for budget in plan.budgets:
-            use = before.get(budget.name) or BudgetUse(budget, self.clock(), plan.drift)
+            use = previous.get(budget.name) or BudgetUse(budget, self.clock(), plan.drift)
             use.budget = budget
             self.uses[budget.name] = use
-        self.of_calls = []
-        self.of_attempts = []
+        self.call_uses = []
+        self.attempt_uses = []
         for use in self.uses.values():
             if use.budget.resource == CALLS and not use.budget.engine:
-                self.of_calls.append(use)
+                self.call_uses.append(use)
             elif use.budget.resource in (CALLS, RETRIES):
-                self.of_attempts.append(use)
+                self.attempt_uses.append(use)
 
-    # as `interface.Constraints`
+    # interface.Constraints
 
     def admit(self, call_class: str, priority_weight: float) -> float:
-        """Admits a call and counts it as spent: 0. Otherwise ms until the exhausted budget opens."""
+        """Admits a call, counts it and returns 0; otherwise returns ms until the exhausted budget opens."""
         now, wait = self.clock(), 0.0
-        limiting = [use for use in self.of_calls if use.limits(CALLS, call_class, "")]
+        limiting = [use for use in self.call_uses if use.applies_to(CALLS, call_class, "")]
         for use in limiting:
             use.wanted += 1
             use.load.add(now, priority_weight)
@@ -127,67 +129,67 @@
                 use.rejected += 1
             else:
                 use.spend(now)
-        for use in self.uses.values():  # what warming engines and probes are asked for follows the calls
+        for use in self.uses.values():  # the load of slow start and probes follows the calls
             if use.budget.is_share:
                 use.load.add(now, priority_weight)
         return wait
 
     def may_attempt(self, call_class: str, server: str, retry: bool) -> bool:
-        """Whether an attempt may go there now. Asked often; counts nothing."""
-        if not self.of_attempts:
+        """Whether an attempt may go to that engine now. Called often; counts nothing."""
+        if not self.attempt_uses:
             return True
         now, resource = self.clock(), _resource(retry)
         return all(
             use.window.used(now) < self.held(now, use.budget.name)
-            for use in self.of_attempts
-            if use.limits(resource, call_class, server)
+            for use in self.attempt_uses
+            if use.applies_to(resource, call_class, server)
         )
 
     def attempt_sent(self, call_class: str, server: str, retry: bool) -> None:
-        """An attempt goes there."""
-        if not self.of_attempts:
+        """Counts an attempt that is sent to that engine."""
+        if not self.attempt_uses:
             return
         now, resource = self.clock(), _resource(retry)
-        for use in self.of_attempts:
-            if use.limits(resource, call_class, server):
+        for use in self.attempt_uses:
+            if use.applies_to(resource, call_class, server):
                 use.spend(now)
 
     def attempt_wanted(self, call_class: str, retry: bool, priority_weight: float) -> None:
-        """An attempt is wanted, at whichever engine; once for each."""
+        """Records the demand for an attempt at any engine. Called once per attempt."""
         now, resource = self.clock(), _resource(retry)
-        for use in self.of_attempts:
-            if use.limits(resource, call_class, use.budget.engine):
+        for use in self.attempt_uses:
+            if use.applies_to(resource, call_class, use.budget.engine):
                 use.wanted += 1
                 use.load.add(now, priority_weight)
 
     def share(self, resource: str, server: str, default: float) -> float:
-        """The share of that engine's resource that is held now; `default`: no budget divides it."""
+        """The share of that engine's resource that is held now; `default` if no budget divides it."""
         now = self.clock()
         shares = [
-            self.held(now, use.budget.name) / SHARES
+            self.held(now, use.budget.name) / SHARE_SLOTS
             for use in self.uses.values()
             if use.budget.resource == resource and use.budget.engine in ("", server)
         ]
         return min(shares, default=default)
 
-    # what is needed
+    # demand
 
     def needs(self) -> Needs:
-        """For each budget the slots that would be used, and the weight of this need among others."""
+        """For each budget the slots that this process would use, and the weight of this need."""
         now = self.clock()
         return {name: self._need(use, use.load.rate(now)) for name, use in self.uses.items()}
 
     @staticmethod
     def _need(use: BudgetUse, rate: float) -> Need:
         if use.budget.is_share:
-            # Everyone could use all of it: it is divided by how much each has to do.
-            slots = SHARES if rate * SLOW > MIN_SHARE_LOAD else 0
+            # Each member could use the complete share, so it is divided by weight: the load of each member.
+            slots = SHARE_SLOTS if rate * SLOW_TIME_CONSTANT > MIN_SHARE_LOAD else 0
             return Need(slots, max(MIN_SHARE_WEIGHT, rate * 1_000.0))
         mean = rate * use.budget.window
         return Need(ceil(mean) if mean > MIN_SLOT_LOAD else 0, use.load.weight)
 
     def report(self) -> dict[str, dict[str, float | int]]:
-        """Figures, by budget; the names are those of the page."""
+        """Figures by budget, under the keys of `GET /v1/budgets`."""
         now = self.clock()
         return {
             name: {
--- a/softswitch/net/budgets.py
+++ b/softswitch/net/budgets.py
@@ -1,8 +1,8 @@
-"""Budgets on the wire: inside the fleet's datagrams, and towards the module as its constraints.
+"""Transport of the budgets: messages inside the fleet's datagrams, and constraints for the decision module.
 
-Nothing here decides: events go to `budgets.lease_client.LeaseClient`, its actions are carried out. The clock
-is one that is never set and goes on while the machine sleeps, read anew for every event and every question of
-the module.
+This module makes no protocol decisions: it passes events to `budgets.lease_client.LeaseClient` and carries
+out the returned actions. The clock is never set and continues while the machine sleeps; it is read anew for
+every event and every query of the decision module.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 from softswitch.core.lifecycle import Phase
 from softswitch.net.peers import Peers
 
-CHANNEL = "budgets"  # of what the fleet's datagrams carry
-NEEDS_INTERVAL = 200.0  # ms between two times that the needs are looked at
-FLOOR_SHARE_OF_TWO = 0.5  # of the floors, while one process replaces the other
+COMPONENT = "budgets"  # name of this component in the fleet's component messages
+NEEDS_INTERVAL = 200.0  # ms between two updates of the needs
+FLOOR_FRACTION_DURING_REPLACEMENT = 0.5  # for each of the two processes
 MAX_SHOWN_HOLDERS = 1_000
 MAX_SHOWN_NAMES = 200  # characters
 BOOT_BITS, SEED_BITS = 62, 64
@@ -36,38 +36,40 @@
 
 
 def boot_time_ms() -> float:
-    """A clock that counts the time that the machine slept, and is never set."""
+    """Returns ms since boot, including time that the machine slept. The clock is never set."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
 
-class FloorShare:
-    """How much of its floors this process may use.
+class FloorFraction:
+    """The fraction of its floors that this process may use.
 
-    They belong to the fleet's address: only who has bound it has them. While one process replaces the other
-    each has half. What is gained counts only after the slots have cooled down that the other process may have
-    used.
+    Floors belong to the fleet address: only a process that has bound the address may use them. While one
+    process replaces the other, each has half. A gained fraction counts only after a cooldown, because the
+    other process may have used those slots.
     """
 
-    def __init__(self, now: float, longest_cooldown: float) -> None:
-        self.longest_cooldown = longest_cooldown  # ms, of any budget
-        self.share = 0.0
-        self.share_before = 0.0
-        self.since = now
+    def __init__(self, now: float, max_cooldown: float) -> None:
+        self.max_cooldown = max_cooldown  # ms, of any budget
+        self.fraction = 0.0
+        self.previous_fraction = 0.0
+        self.changed_at = now
 
-    def set(self, now: float, share: float) -> None:
-        """This process has that share from now on."""
-        if share != self.share:
-            self.share_before = self.usable(now, self.longest_cooldown)
-            self.share = share
-            self.since = now
+    def set(self, now: float, fraction: float) -> None:
+        """Sets the fraction that this process has from now on."""
+        if fraction != self.fraction:
+            self.previous_fraction = self.usable(now, self.max_cooldown)
+            self.fraction = fraction
+            self.changed_at = now
 
     def usable(self, now: float, cooldown: float) -> float:
-        """The share of a budget's floor that may be used now."""
-        return min(self.share_before, self.share) if now < self.since + cooldown else self.share
+        """The fraction of a budget's floor that may be used now."""
+        return (
+            min(self.previous_fraction, self.fraction) if now < self.changed_at + cooldown else self.fraction
+        )
 
 
 class RecordedSpending(Spending):
-    """Keeps the time of the last spendings, for drills that add them up over all processes."""
+    """Spending that records the times of the last uses, for drills that sum them up over all processes."""
 
     def __init__(self, plan: Plan, held: Any, clock: Any, limit: int) -> None:
         self.limit = limit
@@ -75,7 +77,7 @@
         super().__init__(plan, held, clock)
 
     def set_plan(self, plan: Plan) -> None:
-        """Keeps what was recorded."""
+        """As `Spending.set_plan`. Recorded times are retained."""
         super().set_plan(plan)
         for budget in plan.budgets:
             self.times.setdefault(budget.name, deque(maxlen=self.limit))
@@ -84,14 +86,16 @@
         """As `Spending.admit`."""
         wait = super().admit(call_class, priority_weight)
         if not wait:
-            self._record(use.budget.name for use in self.of_calls if use.limits(CALLS, call_class, ""))
+            self._record(use.budget.name for use in self.call_uses if use.applies_to(CALLS, call_class, ""))
         return wait
 
     def attempt_sent(self, call_class: str, server: str, retry: bool) -> None:
         """As `Spending.attempt_sent`."""
         super().attempt_sent(call_class, server, retry)
         resource = RETRIES if retry else CALLS
-        self._record(use.budget.name for use in self.of_attempts if use.limits(resource, call_class, server))
+        self._record(
+            use.budget.name for use in self.attempt_uses if use.applies_to(resource, call_class, server)
+        )
 
     def _record(self, names: Iterable[str]) -> None:
         for name in names:
@@ -99,7 +103,7 @@
 
 
 class Budgets:
-    """Holds this softswitch's part of the fleet's budgets. A `components.Component`."""
+    """Manages this softswitch's slots of the fleet's budgets. A `components.Component`."""
 
     def __init__(self, table: Any, host: Host, peers: Peers) -> None:
         self.table = table
@@ -111,13 +115,13 @@
         plan, random, now = make_plan(table, self.allocation), SystemRandom(), boot_time_ms()
         boot, seed = random.getrandbits(BOOT_BITS), random.getrandbits(SEED_BITS)
         self.client = LeaseClient(plan, self.address, boot, seed, now)
-        self.floor_share = FloorShare(now, max(plan.cooldown(budget) for budget in plan.budgets))
+        self.floor_fraction = FloorFraction(now, max(plan.cooldown(budget) for budget in plan.budgets))
         self.spending = self._make_spending(plan)
         self.encoder = msgspec.msgpack.Encoder()
         self.decoder = msgspec.msgpack.Decoder(Message)
-        self.unreadable = 0
+        self.undecodable = 0
         self.unsent = 0
-        self._due = 0.0  # when the next tick is due, by the wheel's clock
+        self._next_tick_at = 0.0  # by the wheel's clock
         host.calls["/v1/budgets"] = ComponentCall("GET", self._report_budgets)
         if self.allocation.record:
             host.calls["/v1/budgets/"] = ComponentCall("GET", self._report_spendings)
@@ -127,45 +131,45 @@
             return RecordedSpending(plan, self.held, boot_time_ms, self.allocation.record)
         return Spending(plan, self.held, boot_time_ms)
 
-    # what is held
+    # slots
 
-    def _update_floor_share(self, now: float) -> None:
+    def _update_floor_fraction(self, now: float) -> None:
         switch = self.host.switch
         if switch.peer_process is not None:
-            share = FLOOR_SHARE_OF_TWO
+            fraction = FLOOR_FRACTION_DURING_REPLACEMENT
         elif self.peers.datagram_port is not None:
-            share = switch.slow_start_share
+            fraction = switch.slow_start_share
         else:
-            share = 0.0
-        self.floor_share.set(now, share)
+            fraction = 0.0
+        self.floor_fraction.set(now, fraction)
 
     def held(self, now: float, name: str) -> int:
-        """Slots that this process may use at this instant."""
-        self._update_floor_share(now)
+        """Slots that this process may use now: its floor and its lease."""
+        self._update_floor_fraction(now)
         plan, holder = self.client.plan, self.client.holder
-        usable = self.floor_share.usable(now, plan.cooldown(plan.by_name[name]))
+        usable = self.floor_fraction.usable(now, plan.cooldown(plan.by_name[name]))
         return int(holder.floor(now, name) * usable) + holder.leased(now, name)
 
-    # as a component
+    # component interface
 
     def start(self) -> None:
-        """The softswitch starts."""
-        self.peers.receivers[CHANNEL] = self._message_received
+        """Registers the message receiver and applies the constraints."""
+        self.peers.receivers[COMPONENT] = self._message_received
         self.host.switch.lifecycle.on_change.append(self._phase_changed)
         self.host.switch.apply_constraints(self.spending)
         plan = self.client.plan
         logger.info(
-            "budgets: {}; {} voters, {}",
+            "budgets: {}; {} voters; this member {}",
             ", ".join(budget.name for budget in plan.budgets)[:MAX_SHOWN_NAMES],
             len(plan.voters),
-            "one of them" if self.client.votes else "not one of them",
+            "is a voter" if self.client.votes else "is not a voter",
         )
         self._warn_of_unknown_classes(self.host.settings)
         self._update_needs()
         self._tick(self.wheel.now)
 
     def reload(self, table: Any, settings: i.Settings) -> str:
-        """The operator file was read again."""
+        """Applies changed budgets. Returns what needs a restart, as text."""
         delayed = "allocation" if self.host.tables.allocation != self.allocation else ""
         if table is None:
             return "budgets"
@@ -173,12 +177,12 @@
         try:
             plan = make_plan(table, self.allocation)
         except PlanError as e:
-            logger.error("budgets: not taken, the old ones stay: {}", e)
+            logger.error("budgets: new plan rejected, the old one stays in use: {}", e)
             return "budgets"
         self._carry_out(self.client.change_plan(boot_time_ms(), plan))
         self.spending.set_plan(self.client.plan)
         if self.client.plan != plan:
-            delayed += " and " * bool(delayed) + "what budgets count, or floors that rise,"
+            delayed += " and " * bool(delayed) + "the definition of a budget or a raised floor"
         return delayed
 
     def _warn_of_unknown_classes(self, settings: i.Settings) -> None:
@@ -186,11 +190,13 @@
         for budget in self.host.tables.budgets:
             if budget.klass and budget.klass not in known:
                 logger.warning(
-                    "budgets: {} binds class {}, which the settings do not have", budget.name, budget.klass
+                    "budgets: {} applies to class {}, which the settings do not define",
+                    budget.name,
+                    budget.klass,
                 )
 
     def figures(self) -> dict[str, Any]:
-        """At the management address."""
+        """Counts for `GET /metrics`."""
         holder, allocator, now = self.client.holder, self.client.allocator, boot_time_ms()
         return {
             "in_office": allocator.is_leader(now),
@@ -198,56 +204,54 @@
             "at_the_floor": holder.has_no_lease,
             "offices": allocator.epochs_won,
             "granted": allocator.granted,
-            "garbage": self.unreadable,
+            "garbage": self.undecodable,
             "unsent": self.unsent,
             **{name.replace(" ", "_"): count for name, count in holder.counts.items()},
             "by_name": self.spending.report(),
         }
 
     def stop(self) -> None:
-        """The process ends."""
+        """Does nothing: leases are returned when the lifecycle enters STOPPING."""
 
     def _phase_changed(self, phase: Phase) -> None:
         if phase is Phase.STOPPING and self.peers.datagram_port is not None:
             self._carry_out(self.client.stop(boot_time_ms()))
 
-    # time
+    # timers
 
     def _update_needs(self) -> None:
         self.wheel.call_after(NEEDS_INTERVAL, self._update_needs)
         now = boot_time_ms()
-        self._update_floor_share(now)
+        self._update_floor_fraction(now)
         self.client.set_needs(now, self.spending.needs())
         self._schedule(now)
 
     def _tick(self, due: float) -> None:
-        if due != self._due and self._due > self.wheel.now:
+        if due != self._next_tick_at and self._next_tick_at > self.wheel.now:
             return
         now = boot_time_ms()
-        if (
-            self.peers.datagram_port is not None
-        ):  # another process speaks for this member while it has the address
+        if self.peers.datagram_port is not None:  # otherwise another process acts for this member
             self._carry_out(self.client.tick(now))
         self._schedule(now)
 
     def _schedule(self, now: float) -> None:
-        """Schedules the next tick; timers are not taken back, an obsolete one does nothing."""
+        """Schedules the next tick. Timers are not cancelled: `_tick` ignores an obsolete one."""
         wait = max(self.wheel.tick, self.client.next_at() - now)
         due = self.wheel.now + (wait if self.peers.datagram_port is not None else NEEDS_INTERVAL)
-        if due < self._due or self._due <= self.wheel.now:
-            self._due = due
+        if due < self._next_tick_at or self._next_tick_at <= self.wheel.now:
+            self._next_tick_at = due
             self.wheel.call_at(due, self._tick, due)
 
-    # the wire
+    # messages
 
     def _message_received(self, body: bytes) -> None:
         try:
             message = self.decoder.decode(body)
         except (msgspec.DecodeError, msgspec.ValidationError) as e:
-            self.unreadable += 1
-            if self.unreadable == 1:
+            self.undecodable += 1
+            if self.undecodable == 1:
                 logger.warning(
-                    "budgets: a message that can't be read, dropped, and others like it: {:.120}", str(e)
+                    "budgets: undecodable message dropped, further ones are counted only: {:.120}", str(e)
                 )
             return
         now = boot_time_ms()
@@ -258,7 +262,7 @@
         for action in actions:
             if isinstance(action, SendMessage):
                 sent = self.peers.send_component_message(
-                    action.to, CHANNEL, self.encoder.encode(action.message)
+                    action.to, COMPONENT, self.encoder.encode(action.message)
                 )
                 self.unsent += not sent
             elif isinstance(action, Notice):
@@ -309,7 +313,7 @@
         }
 
     def _report_spendings(self, rest: str) -> Answer:
-        """GET /v1/budgets/NAME: when the last ones were, by the machine's clock since its start."""
+        """GET /v1/budgets/NAME: times of the last uses, in ms since the machine's boot."""
         times = self.spending.times.get(rest) if isinstance(self.spending, RecordedSpending) else None
         if times is None:
             return 404, {"error": f"no budget {rest!r:.40}"}
@@ -317,7 +321,7 @@
 
 
 def make(table: Any, host: Host) -> Budgets:
-    """The component of an operator file's table."""
+    """Makes the component from the operator file's table. ValueError if there is no fleet component."""
     peers = host.components.get("fleet")
     if not isinstance(peers, Peers):
         raise ValueError("needs `fleet`: they are divided among its members")
--- a/tests/test_budget_processes.py
+++ b/tests/test_budget_processes.py
@@ -87,7 +87,7 @@
         (ALLOCATION + 'budgets = [{"name": "a", "whole": 5}]\n', "`budgets` needs `fleet`"),
         (
             FLEET + ALLOCATION + 'budgets = [{"name": "a", "whole": 5, "floor": 3}]\n',
-            "a: the floors of 2 members sum to 6 slots, the whole is 5",
+            "a: the floors of 2 members sum to 6 slots, more than the total of 5",
         ),
         (FLEET + ALLOCATION + 'budgets = [{"name": "a", "whole": 0.4}]\n', "make `over_s` longer"),
         (
@@ -128,7 +128,9 @@
         # A file that can't be kept changes nothing, and says why.
         star.write_text(star.read_text().replace('"floor": 2', '"floor": 12'))
         made[1].stage.program.send_signal(signal.SIGHUP)
-        until(lambda: "floors of 2 members sum to 24 slots, the whole is 20" in made[1].said(), logs)
+        until(
+            lambda: "floors of 2 members sum to 24 slots, more than the total of 20" in made[1].said(), logs
+        )
         # While one process replaces the other each has half of the floor, and then one has all again.
         stage = made[0].stage
         old, before = stage.program, made[0].mgmt
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -26,10 +26,10 @@
     PromiseRequest,
     Redirect,
 )
-from softswitch.budgets.plan import SHARES, Budget, Limits, Plan, PlanError, strictest_limits
+from softswitch.budgets.plan import SHARE_SLOTS, Budget, Limits, Plan, PlanError, strictest_limits
 from softswitch.budgets.sliding_window import CELLS, SlidingWindow
 from softswitch.budgets.spending import Spending
-from softswitch.net.budgets import FloorShare
+from softswitch.net.budgets import FloorFraction
 from softswitch.standin.faults.budget_simulation import BudgetWorld, address_of, even, play
 from softswitch.standin.faults.schedule import Fault
 
@@ -78,7 +78,9 @@
 
 
 def test_a_plan_whose_floors_sum_to_more_than_the_whole_is_refused_with_the_sum():
-    with pytest.raises(PlanError, match="quotes: the floors of 6 members sum to 66 slots, the whole is 60"):
+    with pytest.raises(
+        PlanError, match="quotes: the floors of 6 members sum to 66 slots, more than the total of 60"
+    ):
         plan(floor=11)
     for wrong in ({"voters": 0}, {"drift": 0.5}):
         with pytest.raises(PlanError):
@@ -132,17 +134,17 @@
 
 
 def test_a_share_is_asked_for_by_how_much_there_is_to_do():
-    p = Pocketed(Budget("cold", "cold", SHARES, 10, 1000.0), held=250)
+    p = Pocketed(Budget("cold", "cold", SHARE_SLOTS, 10, 1000.0), held=250)
     assert p.spending.share("cold", "s-1", 9.0) == 0.25
     assert p.spending.share("probes", "s-1", 9.0) == 9.0
     assert p.spending.needs()["cold"].slots == 0
     for _ in range(50):
         p.spending.admit("x", 1.0)
-    quiet = Pocketed(Budget("cold", "cold", SHARES, 10, 1000.0))
+    quiet = Pocketed(Budget("cold", "cold", SHARE_SLOTS, 10, 1000.0))
     for _ in range(5):
         quiet.spending.admit("x", 1.0)
     cold = p.spending.needs()["cold"]
-    assert cold.slots == SHARES
+    assert cold.slots == SHARE_SLOTS
     assert cold.weight > 5 * quiet.spending.needs()["cold"].weight
 
 
@@ -403,7 +405,7 @@
 
 
 def test_floors_that_were_gained_rest_also_when_more_is_gained_soon_after():
-    floors = FloorShare(0.0, 4_000.0)
+    floors = FloorFraction(0.0, 4_000.0)
     floors.set(0.0, 0.5)
     assert floors.usable(3_999.0, 4_000.0) == 0.0
     assert floors.usable(4_000.0, 4_000.0) == 0.5
