--- a/softswitch/fleet/member.py
+++ b/softswitch/fleet/member.py
@@ -1,13 +1,13 @@
-"""One member of the fleet: finds failures, spreads news, agrees with the others. Events in, actions out.
+"""Membership protocol of one fleet member: failure detection, dissemination and anti-entropy.
 
-The rules of SWIM (direct and indirect probes in shuffled rounds, suspicion, incarnations), with Lifeguard's
-three remedies (probe times by one's own health, suspicions that shorten with each member that shares them,
-the accused told first), and exchanges of whole tables by digest as in Scuttlebutt. docs/design/fleet-view.md
-says why.
+Events in, actions out. The protocol is SWIM (direct and indirect probes in shuffled rounds, suspicion,
+incarnations) with the three extensions of Lifeguard (probe timeouts that depend on the local health score,
+suspicion timeouts that shrink with each confirming member, notification of the suspect first), and exchanges
+of complete tables by digest as in Scuttlebutt. docs/design/fleet-view.md gives the reasons.
 
-Two things are its own. A process that was stopped or starved gives every wait that ran meanwhile its time
-again, and accuses nobody before it was heard. And a process that does not see a majority says 'I am cut off':
-it keeps the others as suspects and calls none of them gone.
+Two rules are additions. After a stall (a paused or starved process) every running timeout is extended by the
+stall, and no member is suspected before its pending messages are read. A process that does not see a majority
+reports that it is cut off: it retains the others as suspects and declares none of them gone.
 """
 
 from __future__ import annotations
@@ -42,33 +42,34 @@
     Updates,
 )
 
-HELPERS = 3  # members asked to probe for us
-DEAF = 6.0  # periods in which nobody at all is heard, after which a process counts as cut off itself
-WORST = 8  # the most that one's own bad health stretches times by
-PIGGYBACK = 8  # records on the back of a probe: they and the head fit a datagram of 1,400 bytes
-RECENT, UNWELL = 4, 4  # own probes, and own health, by which it doubts its own view
-ASKERS = 20  # members, on average, that ask one who is suspected at half of the time
-BACKLOG = 4 * PIGGYBACK  # news waiting to be passed on, from which on an exchange is shorter
-CONFIRMATIONS = 3  # others that share a suspicion, from which on it lasts its least time
-COUNTED = ("probes", "indirect", "accused", "refuted", "exchanges", "standstills", "gone", "garbage")
-MOST_HELPED = 64  # probes under way for others
+HELPERS = 3  # members that are requested to probe indirectly
+ISOLATION_PERIODS = 6.0  # periods without any received message, after which this process is cut off
+MAX_HEALTH_SCORE = 8  # probe timeouts are multiplied by 1 + score
+PIGGYBACK = 8  # records piggybacked on a message: with the header they fit a datagram of 1,400 bytes
+RECENT_PROBES, DOUBT_HEALTH_SCORE = 4, 4  # own probes, and own score, that may show own isolation
+MEAN_QUERIERS = 20  # members, on average, that query a suspect at half of its suspicion time
+MAX_BACKLOG = 4 * PIGGYBACK  # pending updates; above it an exchange of tables is cheaper
+CONFIRMATIONS = 3  # other members that confirm a suspicion, at which it has its minimum duration
+COUNTERS = ("probes", "indirect", "accused", "refuted", "exchanges", "standstills", "gone", "garbage")
+MAX_INDIRECT_PROBES = 64  # running, on behalf of other members
 
 
 @dataclass(frozen=True, slots=True)
 class Periods:
-    """Times in ms; all follow from the period of probes."""
+    """Intervals and timeouts, in ms unless stated otherwise."""
 
     period: float = 500.0  # between two probes
-    answer: float = 200.0  # for a direct answer
-    suspicion: float = 3.0  # periods that a suspicion lasts at least, times log10 of the fleet but 1 at least
-    longest: float = 3.0  # times as long it lasts at the most, with nobody sharing it
-    exchange: float = 5_000.0  # between two exchanges of tables with nothing to say that they differ
-    retry: float = 1_000.0  # between two tries to reach a member that is gone, and seeds while joining
+    ack_timeout: float = 200.0  # of a direct probe
+    # minimum duration of a suspicion: this many periods, times max(1, log10 of the fleet size)
+    suspicion_periods: float = 3.0
+    max_suspicion_factor: float = 3.0  # maximum duration, unconfirmed, over minimum duration
+    exchange: float = 5_000.0  # between two exchanges of tables without a sign that they differ
+    retry: float = 1_000.0  # between two attempts to reach members that are gone, and seeds while joining
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A datagram to this address."""
+    """Send a datagram to this address."""
 
     to: str
     message: Datagram
@@ -76,7 +77,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """An exchange over the second path: `said` goes out, and what comes back is given to `heard_back`."""
+    """Open a connection for an exchange and send `request`.
+
+    Received messages go to `Member.exchange_message_received`.
+    """
 
     to: str
     request: CompareDigests
@@ -84,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """What is known of a member changed. `was` is None for a new one."""
+    """A member's record changed. `previous_state` is None for a new member."""
 
     record: Record
     previous_state: State | None
@@ -92,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """For operators: `what` is one of 'accused', 'cut off', 'sees a majority', 'name taken', 'refused'."""
+    """For operators. `event` is one of 'accused', 'cut off', 'sees a majority', 'name taken', 'refused'."""
 
     event: str
     details: str
@@ -103,13 +107,13 @@
 
 @dataclass(slots=True)
 class Probe:
-    """The probe under way."""
+    """The running probe. Times in ms of this process's clock."""
 
     key: str
     seq: int
-    direct_by: float
-    ends: float
-    asked: bool = False
+    ack_deadline: float  # of the direct probe
+    ends_at: float
+    indirect_sent: bool = False
     nacks: int = 0
     helpers: int = 0
 
@@ -119,36 +123,39 @@
     """A member that is suspected to have failed. Times in ms of this process's clock."""
 
     incarnation: int
-    began: float
-    least: float
-    longest: float
-    sharers: set[str]  # other members whose own probes failed too
-    held: float = 0.0  # not over before this time
-    asked: int = 0  # times that the accused was asked because of it
+    started_at: float
+    min_duration: float
+    max_duration: float
+    confirmers: set[str]  # other members whose own probes failed too
+    not_before: float = 0.0  # earliest end
+    queries: int = 0  # pings that were sent to the suspect because of the suspicion
 
-    def asks_at(self) -> float:
-        """When the accused is asked next: at half of the time, and once more before it is called gone."""
-        return self.began + (self.ends - self.began) / 2 if self.asked == 0 else self.ends
+    def next_query_at(self) -> float:
+        """When the suspect is queried next: at half of the time, and again before it is declared gone."""
+        return self.started_at + (self.ends_at - self.started_at) / 2 if self.queries == 0 else self.ends_at
 
     @property
-    def ends(self) -> float:
-        """When it is declared dead: the sooner, the more other members' probes have failed too."""
-        share = min(1.0, log10(len(self.sharers) + 1) / log10(CONFIRMATIONS + 1))
-        return max(self.held, self.began + self.longest - share * (self.longest - self.least))
+    def ends_at(self) -> float:
+        """When the member is declared gone: the more members confirm the suspicion, the earlier."""
+        fraction = min(1.0, log10(len(self.confirmers) + 1) / log10(CONFIRMATIONS + 1))
+        return max(
+            self.not_before,
+            self.started_at + self.max_duration - fraction * (self.max_duration - self.min_duration),
+        )
 
 
 @dataclass(slots=True)
-class Helped:
-    """A probe for another member."""
+class IndirectProbe:
+    """A probe on behalf of another member, the requester."""
 
-    asker: str  # its address
+    requester: str  # address
     seq: int
     nack_at: float
-    ends: float
+    ends_at: float
 
 
 class Member:
-    """This process's part in the fleet."""
+    """This process as a member of its fleet."""
 
     def __init__(
         self, fleet: str, me: Record, seeds: Iterable[str], periods: Periods, seed: int, now: float
@@ -159,75 +166,81 @@
         self.table = MemberTable()
         self.table.put(now, self.me)
         self.actions: list[Action] = []
-        self.health = 0  # 0: well; raised by what makes one doubt one's own view
-        self.next_tick_due, self.began = now, now  # expected: when the next tick was due
-        self.next_early = now  # an exchange for digests that differ, not before
-        self.recent: deque[bool] = deque(maxlen=RECENT)  # whether the last probes were answered
-        self.accuses: dict[str, None] = {}  # suspects that own probes did not reach
-        self.counted: tuple[int, int, int] = (-1, 0, 0)  # digest of the table; names there, and the whole
+        self.health_score = 0  # 0: healthy; raised by signs that this process itself is slow or isolated
+        self.next_tick_due, self.started_at = now, now  # ms
+        self.next_early_exchange = now  # earliest exchange because of a differing digest
+        self.recent_probes: deque[bool] = deque(maxlen=RECENT_PROBES)  # whether they were acknowledged
+        self.accuses: dict[str, None] = {}  # keys of suspects whose own probe failed
+        # digest of the table that was counted; names present; names in total
+        self.name_counts: tuple[int, int, int] = (-1, 0, 0)
         self.next_probe, self.next_exchange, self.next_retry = now, now, now
         self.probe: Probe | None = None
-        self.round: list[str] = []
+        self.probe_round: list[str] = []
         self.seq = self.rng.getrandbits(32)
         self.suspicions: dict[str, Suspicion] = {}
-        self.helped: dict[int, Helped] = {}
-        self.heard_at = now  # when anyone was last heard
+        self.indirect_probes: dict[int, IndirectProbe] = {}
+        self.last_received_at = now  # when the last valid message was received
         self.leaving = False
         self.cut_off = False
-        self.taken: dict[str, None] = {}  # keys of others that claim this name; each told once
-        self.refusals: dict[str, int] = {}
-        self.counts = dict.fromkeys(COUNTED, 0)
+        # keys of other members that claim this name; each is reported once
+        self.name_conflicts: dict[str, None] = {}
+        self.rejections: dict[str, int] = {}
+        self.counts = dict.fromkeys(COUNTERS, 0)
 
-    # what goes out
+    # sent messages
 
     def _header(self) -> Header:
         return Header(self.fleet, FORMAT, self.me, self.table.digest, tuple(self.accuses)[:4])
 
     def _take_actions(self) -> list[Action]:
-        acts, self.actions = self.actions, []
-        return acts
+        actions, self.actions = self.actions, []
+        return actions
+
+    def _updates_for(self, recipient: str = "") -> tuple[Record, ...]:
+        """Updates to piggyback on a message to a member; first the recipient's record if it is suspect or
+        gone.
 
-    def _updates_for(self, about: str = "") -> tuple[Record, ...]:
-        """On the back of a probe. One who is accused is told so first: nobody else can take it back."""
-        record = self.table.records.get(about)
+        Only the recipient itself can refute that state.
+        """
+        record = self.table.records.get(recipient)
         accused = record is not None and record.state in (State.SUSPECT, State.GONE)
-        return self.table.next_updates(PIGGYBACK, (about,) if accused else ())
+        return self.table.next_updates(PIGGYBACK, (recipient,) if accused else ())
 
     def _next_seq(self) -> int:
         self.seq = (self.seq + 1) % (1 << 40)
         return self.seq
 
-    # time
+    # timers
 
     def next_at(self) -> float:
-        """When `tick` is to be called next, at the latest."""
+        """The latest time of the next call of `tick`."""
         due = [self.next_probe, self.next_exchange, self.next_retry]
         if self.probe is not None:
-            due.append(self.probe.ends if self.probe.asked else self.probe.direct_by)
-        due += [min(s.ends, s.asks_at()) for s in self.suspicions.values()]
-        due += [h.nack_at for h in self.helped.values()]
+            due.append(self.probe.ends_at if self.probe.indirect_sent else self.probe.ack_deadline)
+        due += [min(s.ends_at, s.next_query_at()) for s in self.suspicions.values()]
+        due += [h.nack_at for h in self.indirect_probes.values()]
         return min(due)
 
     def tick(self, now: float) -> list[Action]:
-        """Time went on. To be called at `next_at`, and at least once a period."""
-        if now - self.next_tick_due > self.periods.answer / 2:
+        """Handles due timers. Has to be called at `next_at`, and at least once a period."""
+        if now - self.next_tick_due > self.periods.ack_timeout / 2:
             self._compensate_for_stall(now - self.next_tick_due)
-        for seq in [seq for seq, h in self.helped.items() if now >= h.nack_at]:
-            helped = self.helped[seq]
-            if helped.nack_at < helped.ends:
-                self.actions.append(Send(helped.asker, Nack(self._header(), helped.seq)))
-                helped.nack_at = helped.ends
+        for seq in [seq for seq, h in self.indirect_probes.items() if now >= h.nack_at]:
+            indirect = self.indirect_probes[seq]
+            if indirect.nack_at < indirect.ends_at:
+                self.actions.append(Send(indirect.requester, Nack(self._header(), indirect.seq)))
+                indirect.nack_at = indirect.ends_at
             else:
-                del self.helped[seq]
+                del self.indirect_probes[seq]
         self._probe(now)
         self._check_majority(now)
         for key, s in list(self.suspicions.items()):
-            if s.asked == 0 and now >= s.asks_at():
-                s.asked = 1
-                # Of a large fleet some ask, so that what all of them send to one stays bounded.
-                if self.rng.random() * self.table.count_present() < ASKERS:
+            if s.queries == 0 and now >= s.next_query_at():
+                s.queries = 1
+                # In a large fleet only some members query, which bounds the load on the suspect.
+                if self.rng.random() * self.table.count_present() < MEAN_QUERIERS:
                     self._ping(key, self._next_seq())
-            if now >= s.ends:
+            if now >= s.ends_at:
                 self._suspicion_expired(now, key)
         if now >= self.next_exchange and not self.leaving:
             self.next_exchange = now + self.periods.exchange * self.rng.uniform(0.8, 1.2)
@@ -242,21 +255,23 @@
         return self._take_actions()
 
     def _compensate_for_stall(self, gap: float) -> None:
-        """This process was stopped or starved. What it waited for meanwhile may have come and lies unread:
-        every wait gets its time again, and its own health is in doubt.
+        """Extends all running timeouts by a stall, in which this process was paused or starved.
+
+        The running probe is dropped, because its answer may be unread. The stall also raises the own health
+        score.
         """
         self.counts["standstills"] += 1
-        self.health = min(WORST, self.health + 1)
+        self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
         self.probe = None
         self.next_probe += gap
-        self.heard_at += gap
+        self.last_received_at += gap
         for s in self.suspicions.values():
-            s.began, s.held = s.began + gap, s.held + gap
-        for h in self.helped.values():
-            h.nack_at, h.ends = h.nack_at + gap, h.ends + gap
+            s.started_at, s.not_before = s.started_at + gap, s.not_before + gap
+        for h in self.indirect_probes.values():
+            h.nack_at, h.ends_at = h.nack_at + gap, h.ends_at + gap
 
-    def _stretch(self) -> float:
-        return 1.0 + self.health
+    def _health_multiplier(self) -> float:
+        return 1.0 + self.health_score
 
     # probes
 
@@ -265,10 +280,10 @@
 
     def _probe(self, now: float) -> None:
         p = self.probe
-        if p is not None and not p.asked and now >= p.direct_by:
-            p.asked = True
-            able = [k for k in self._others((State.ALIVE,)) if k != p.key]
-            helpers = self.rng.sample(able, min(HELPERS, len(able)))
+        if p is not None and not p.indirect_sent and now >= p.ack_deadline:
+            p.indirect_sent = True
+            candidates = [k for k in self._others((State.ALIVE,)) if k != p.key]
+            helpers = self.rng.sample(candidates, min(HELPERS, len(candidates)))
             target = self.table.records.get(p.key)
             p.helpers = len(helpers)
             if target is not None:
@@ -280,44 +295,48 @@
                             PingRequest(self._header(), p.seq, p.key, target.address, self._updates_for(key)),
                         )
                     )
-        if p is not None and now >= p.ends:
+        if p is not None and now >= p.ends_at:
             self.probe = None
-            if not self._is_suspect(p.key):  # no news of a suspect: it says nothing of this process's health
+            if not self._is_suspect(p.key):  # a suspect's silence is no sign of own isolation
                 self._probe_failed(p)
             self._accuse(now, p.key)
         if now >= self.next_probe and self.probe is None and not self.leaving:
             target_key = self._next_target()
-            self.next_probe = now + self.periods.period * self._stretch()
+            self.next_probe = now + self.periods.period * self._health_multiplier()
             if target_key is None:
                 return
-            answer = self.periods.answer * self._stretch()
-            ends = max(self.next_probe, now + 3 * answer)
-            self.probe = Probe(target_key, self._next_seq(), now + answer, ends)
+            ack_timeout = self.periods.ack_timeout * self._health_multiplier()
+            ends_at = max(self.next_probe, now + 3 * ack_timeout)
+            self.probe = Probe(target_key, self._next_seq(), now + ack_timeout, ends_at)
             self.counts["probes"] += 1
             self._ping(target_key, self.probe.seq)
 
     def _probe_failed(self, probe: Probe) -> None:
-        """Helpers that are there and heard nothing have said so; those that said nothing make one doubt
-        oneself.
+        """Raises the own health score by the helpers that sent no Nack.
+
+        A helper that is reachable reports with a Nack that its probe failed too. Missing Nacks, or no helpers
+        at all, are a sign that this process itself is isolated.
         """
-        self.recent.append(False)
+        self.recent_probes.append(False)
         missed = probe.helpers - probe.nacks
-        self.health = min(WORST, self.health + (missed if probe.helpers else 1))
+        self.health_score = min(MAX_HEALTH_SCORE, self.health_score + (missed if probe.helpers else 1))
 
     def _is_suspect(self, key: str) -> bool:
         record = self.table.records.get(key)
         return record is not None and record.state is State.SUSPECT
 
     def _next_target(self) -> str | None:
-        """Each of the others once a round, in an order drawn anew for each: so the time until a failure is
-        seen by someone is bounded, whatever the dice.
+        """The next member to probe, or None.
+
+        Each round probes every other member once, in a new random order. This bounds the time until some
+        member detects a failure.
         """
         for fresh in (False, True):
             if fresh:
-                self.round = self._others((State.JOINING, State.ALIVE, State.SUSPECT))
-                self.rng.shuffle(self.round)
-            while self.round:
-                key = self.round.pop()
+                self.probe_round = self._others((State.JOINING, State.ALIVE, State.SUSPECT))
+                self.rng.shuffle(self.probe_round)
+            while self.probe_round:
+                key = self.probe_round.pop()
                 record = self.table.records.get(key)
                 if record is not None and record.state not in ENDED:
                     return key
@@ -331,69 +350,79 @@
         record = self.table.records.get(key)
         if record is None or record.state in ENDED:
             return
-        if now - self.heard_at > 2 * self.periods.period * self._stretch() and self.table.count_present() > 2:
-            return  # nobody at all was heard: it is rather this process that hears nothing
+        if (
+            now - self.last_received_at > 2 * self.periods.period * self._health_multiplier()
+            and self.table.count_present() > 2
+        ):
+            return  # nothing was received from any member: this process is probably the isolated one
         self.counts["accused"] += 1
         self.accuses[key] = None
         self._merge(now, (msgspec.structs.replace(record, state=State.SUSPECT),))
         self.actions.append(Send(record.address, Updates(self._header(), (self.table.records[key],))))
 
-    def _suspect(self, now: float, record: Record) -> None:
+    def _start_suspicion(self, now: float, record: Record) -> None:
         found = self.suspicions.get(record.key)
         if found is not None and found.incarnation == record.incarnation:
             return
         n = max(1.0, log10(max(1, self.table.count_present())))
-        least = self.periods.suspicion * n * self.periods.period
-        longest = self.periods.longest * least
-        self.suspicions[record.key] = Suspicion(record.incarnation, now, least, longest, set())
+        min_duration = self.periods.suspicion_periods * n * self.periods.period
+        max_duration = self.periods.max_suspicion_factor * min_duration
+        self.suspicions[record.key] = Suspicion(record.incarnation, now, min_duration, max_duration, set())
 
     def _suspicion_expired(self, now: float, key: str) -> None:
         record, suspicion = self.table.records.get(key), self.suspicions[key]
         if record is None or record.state is not State.SUSPECT or record.incarnation != suspicion.incarnation:
             del self.suspicions[key]
-        elif self.cut_off or self._in_doubt(now):
-            # It may be this process that is away: they stay suspects, and are asked on.
-            suspicion.held = now + self.periods.period
-        elif suspicion.asked < 2:
-            suspicion.asked, suspicion.held = 2, now + 2 * self.periods.answer
+        elif self.cut_off or self._may_be_isolated(now):
+            # This process may be the isolated one: the member stays a suspect and is probed further.
+            suspicion.not_before = now + self.periods.period
+        elif suspicion.queries < 2:
+            suspicion.queries, suspicion.not_before = 2, now + 2 * self.periods.ack_timeout
             self._ping(key, self._next_seq())
         else:
             del self.suspicions[key]
             self.counts["gone"] += 1
             self._merge(now, (msgspec.structs.replace(record, state=State.GONE),))
 
-    def _in_doubt(self, now: float) -> bool:
-        """Whether it may be this process that is away, although the table does not say so yet: nobody was
-        heard lately, half of its last probes found nobody, or those asked for help were silent too.
+    def _may_be_isolated(self, now: float) -> bool:
+        """Whether this process may be the isolated one, although the table does not show it yet.
+
+        Signs are: no message was received lately, half of its last probes failed, or helpers were silent too.
         """
-        silent = now - self.heard_at > 2 * self.periods.period * self._stretch()
-        failed = self.recent.count(False)
-        return silent or self.health >= UNWELL or (failed > 0 and 2 * failed >= len(self.recent))
+        silent = now - self.last_received_at > 2 * self.periods.period * self._health_multiplier()
+        failed = self.recent_probes.count(False)
+        return (
+            silent
+            or self.health_score >= DOUBT_HEALTH_SCORE
+            or (failed > 0 and 2 * failed >= len(self.recent_probes))
+        )
 
     def _check_majority(self, now: float) -> None:
-        """Of all members that did not leave, more than half are there, this one among them. The gone ones
-        count as long as they are remembered: else a minority would shrink the whole until it is a majority of
-        it.
+        """Updates `cut_off`: true without a majority of the members that did not leave.
+
+        It is also true if no message was received for ISOLATION_PERIODS. This member counts as present. Gone
+        members count in the total as long as their records are retained: otherwise a minority would shrink
+        the total until it is a majority of it.
         """
-        if self.counted[0] != self.table.digest:
-            there, lost = set(), set()
+        if self.name_counts[0] != self.table.digest:
+            present, absent = set(), set()
             for r in self.table.records.values():
                 if r.state in (State.JOINING, State.ALIVE):
-                    there.add(r.name)
+                    present.add(r.name)
                 elif r.state is not State.LEFT:
-                    lost.add(r.name)  # unless it is at another address by now
-            self.counted = (self.table.digest, len(there), len(there | lost))
-        _, n, whole = self.counted
-        silent = now - self.heard_at > DEAF * self.periods.period
-        # As many as half and no more: a fleet of two that loses one, or is cut in halves.
-        cut_off = whole > 1 and (2 * n <= whole or silent)
+                    absent.add(r.name)  # its name may be present at another address
+            self.name_counts = (self.table.digest, len(present), len(present | absent))
+        _, n, total = self.name_counts
+        silent = now - self.last_received_at > ISOLATION_PERIODS * self.periods.period
+        # Exactly half is no majority: a fleet of two that loses one, or a partition into halves.
+        cut_off = total > 1 and (2 * n <= total or silent)
         if cut_off != self.cut_off:
             self.cut_off = cut_off
-            why = f"{n} of {whole} are there" + ", nobody is heard" * silent
-            self.actions.append(Notice("cut off" if cut_off else "sees a majority", why))
-            for s in self.suspicions.values():  # who is heard again has its time to say so
-                s.began, s.held, s.asked = now, 0.0, 0
-                s.sharers.clear()
+            details = f"{n} of {total} members are present" + ", no messages are received" * silent
+            self.actions.append(Notice("cut off" if cut_off else "sees a majority", details))
+            for s in self.suspicions.values():  # reachable suspects get the full time to refute
+                s.started_at, s.not_before, s.queries = now, 0.0, 0
+                s.confirmers.clear()
 
     # exchanges
 
@@ -402,8 +431,10 @@
         self.actions.append(Exchange(address, CompareDigests(self._header(), tuple(self.table.buckets))))
 
     def _retry(self, now: float) -> None:
-        """Those that are gone may be cut off, and then only this brings the two parts together again. Seeds
-        are asked too: a fleet whose processes all started anew knows nobody else.
+        """Opens exchanges with members that are gone, and with seeds that are not known as members.
+
+        Gone members may be on the other side of a partition; only this retry merges the two sides again.
+        Seeds are included because after a restart of all processes no member knows any other.
         """
         known = {r.address for r in self.table.records.values() if r.state not in ENDED}
         lost = [self.table.records[k].address for k in self._others((State.GONE,))]
@@ -415,20 +446,20 @@
             self.next_retry = now + self.periods.period
             for address in self.seeds:
                 self._exchange(address)
-            if not self.seeds or now - self.began > 4 * self.periods.retry:
-                self._joined(now)  # alone for now: the seeds are asked on
+            if not self.seeds or now - self.started_at > 4 * self.periods.retry:
+                self._complete_join(now)  # alone for now: the seeds are retried later
         elif lost:
             for address in self.rng.sample(lost, min(HELPERS, len(lost))):
                 self._exchange(address)
 
-    def _joined(self, now: float) -> None:
+    def _complete_join(self, now: float) -> None:
         if self.me.state is State.JOINING:
             self._update_own_record(now, state=State.ALIVE)
 
-    # what comes in
+    # received messages
 
-    def _welcome(self, now: float, header: Header) -> str:
-        """Empty if the sender is of this fleet; else why it is not listened to."""
+    def _rejection_reason(self, now: float, header: Header) -> str:
+        """Why a message is rejected; empty if its sender belongs to this fleet."""
         if header.format != FORMAT:
             return f"format {header.format} of messages, {FORMAT} is spoken here"
         if header.fleet != self.fleet:
@@ -437,35 +468,35 @@
             return f"name and address of {self.me.key}, which is this process"
         return ""
 
-    def _refuse(self, reason: str, who: str) -> Rejected:
-        if len(self.refusals) < 64 or reason in self.refusals:
-            self.refusals[reason] = self.refusals.get(reason, 0) + 1
-            if self.refusals[reason] == 1:
+    def _reject(self, reason: str, who: str) -> Rejected:
+        if len(self.rejections) < 64 or reason in self.rejections:
+            self.rejections[reason] = self.rejections.get(reason, 0) + 1
+            if self.rejections[reason] == 1:
                 self.actions.append(Notice("refused", f"{who}: {reason}"))
         return Rejected(reason)
 
     def datagram_received(self, now: float, message: Message) -> list[Action]:
-        """A datagram came."""
+        """Handles a received datagram."""
         if isinstance(message, Rejected):
-            self._refuse(f"turned away there: {message.reason}", "a peer")
+            self._reject(f"turned away there: {message.reason}", "a peer")
             return self._take_actions()
         if isinstance(message, CompareDigests | DifferingRecords | RemainingRecords):
             self.counts["garbage"] += 1
             return self._take_actions()
         header = message.header
-        if header.sender.key == self.me.key:  # what this name and address said in a life before
+        if header.sender.key == self.me.key:  # from an earlier process of this member
             self.counts["garbage"] += 1
             return self._take_actions()
-        if why := self._welcome(now, header):
-            refusal = self._refuse(why, header.sender.key)
+        if reason := self._rejection_reason(now, header):
+            rejection = self._reject(reason, header.sender.key)
             if not isinstance(message, Nack | Updates):
-                self.actions.append(Send(header.sender.address, refusal))
+                self.actions.append(Send(header.sender.address, rejection))
             return self._take_actions()
-        self.heard_at = now
+        self.last_received_at = now
         self._merge(now, (header.sender, *getattr(message, "updates", ())))
         for key in header.accuses:
             if key in self.suspicions:
-                self.suspicions[key].sharers.add(header.sender.key)
+                self.suspicions[key].confirmers.add(header.sender.key)
         sender = header.sender.address
         if isinstance(message, Ping):
             if message.to == self.me.key:
@@ -478,22 +509,24 @@
             if self.probe is not None and self.probe.seq == message.seq:
                 self.probe.nacks += 1
         elif isinstance(message, PingRequest):
-            if len(self.helped) < MOST_HELPED and message.to != self.me.key:
+            if len(self.indirect_probes) < MAX_INDIRECT_PROBES and message.to != self.me.key:
                 seq = self._next_seq()
-                wait = self.periods.answer * 0.8
-                self.helped[seq] = Helped(sender, message.seq, now + wait, now + 2 * self.periods.period)
+                wait = self.periods.ack_timeout * 0.8
+                self.indirect_probes[seq] = IndirectProbe(
+                    sender, message.seq, now + wait, now + 2 * self.periods.period
+                )
                 ping = Ping(self._header(), seq, message.to, self._updates_for(message.to))
                 self.actions.append(Send(message.address, ping))
         if (
             header.digest != self.table.digest
-            and not 0 < len(self.table.pending) <= BACKLOG
+            and not 0 < len(self.table.pending) <= MAX_BACKLOG
             and isinstance(message, Ack)
-            and now >= self.next_early
+            and now >= self.next_early_exchange
             and not self.leaving
         ):
-            # Nothing is left to spread, and still the two differ: something was lost on the way. Or so much
-            # is left that an exchange is shorter: many joined at once.
-            self.next_early = now + 2 * self.periods.period
+            # The tables differ although no updates are pending, so an update was lost. Or so many are
+            # pending that an exchange is cheaper: many members joined at once.
+            self.next_early_exchange = now + 2 * self.periods.period
             self._exchange(sender)
         return self._take_actions()
 
@@ -501,43 +534,46 @@
         p = self.probe
         if p is not None and p.seq == message.seq:
             self.probe = None
-            self.recent.append(True)
-            self.health = max(0, self.health - 1)
+            self.recent_probes.append(True)
+            self.health_score = max(0, self.health_score - 1)
             self.accuses.pop(p.key, None)
             return
-        helped = self.helped.pop(message.seq, None)
-        if helped is not None:
-            # Passed on in the name of who answered, so that its own word comes with it.
-            self.actions.append(Send(helped.asker, Ack(self._header(), helped.seq, (message.header.sender,))))
+        indirect = self.indirect_probes.pop(message.seq, None)
+        if indirect is not None:
+            # The Ack carries the record of the probed member as an update.
+            self.actions.append(
+                Send(indirect.requester, Ack(self._header(), indirect.seq, (message.header.sender,)))
+            )
 
     def exchange_message_received(self, now: float, message: Stream) -> tuple[Stream | None, list[Action]]:
-        """Something came on the second path: what is answered there, and what else is done."""
+        """Handles a message of an exchange. Returns the answer, or None, and the actions."""
         if isinstance(message, Rejected):
-            self._refuse(f"turned away there: {message.reason}", "a peer")
+            self._reject(f"turned away there: {message.reason}", "a peer")
             return None, self._take_actions()
-        if why := self._welcome(now, message.header):
-            return self._refuse(why, message.header.sender.key), self._take_actions()
-        self.heard_at = now
+        if reason := self._rejection_reason(now, message.header):
+            return self._reject(reason, message.header.sender.key), self._take_actions()
+        self.last_received_at = now
         if isinstance(message, CompareDigests):
             self._merge(now, (message.header.sender,))
-            differ = self.table.differing_buckets(message.buckets)
-            there = self.table.records_in(differ)
+            buckets = self.table.differing_buckets(message.buckets)
+            records = self.table.records_in(buckets)
             return DifferingRecords(
-                self._header(), differ, there, self.table.seconds_since_end(now, there)
+                self._header(), buckets, records, self.table.seconds_since_end(now, records)
             ), self._take_actions()
         if isinstance(message, DifferingRecords):
-            there = self.table.records_in(message.buckets)  # as it was before: no news to them else
-            rest = RemainingRecords(self._header(), there, self.table.seconds_since_end(now, there))
+            # read before the merge, so that the sender's records are not returned to it
+            records = self.table.records_in(message.buckets)
+            rest = RemainingRecords(self._header(), records, self.table.seconds_since_end(now, records))
             self._merge(now, (message.header.sender, *message.records), (0, *message.ages))
-            self._joined(now)
+            self._complete_join(now)
             return rest, self._take_actions()
         self._merge(now, (message.header.sender, *message.records), (0, *message.ages))
         return None, self._take_actions()
 
-    # what holds
+    # records
 
     def _merge(self, now: float, records: Iterable[Record], ages: Iterable[int] = ()) -> None:
-        """`ages`: seconds since each came to its end; what has none came to it now."""
+        """Merges records into the table. `ages`: seconds since each member ended; 0 where none is given."""
         for record, age in zip(records, chain(ages, repeat(0)), strict=False):
             if record.key == self.me.key:
                 self._refute(now, record)
@@ -547,17 +583,20 @@
             if old is None and not (new and record.key in self.table.records):
                 continue
             if record.state is State.SUSPECT:
-                self._suspect(now, record)
+                self._start_suspicion(now, record)
             else:
                 self.suspicions.pop(record.key, None)
                 self.accuses.pop(record.key, None)
-            self._conflict(record)
+            self._check_name_conflict(record)
             if old is None or old.state is not record.state or old.boot != record.boot:
                 self.actions.append(MemberChanged(record, None if old is None else old.state))
 
     def _refute(self, now: float, record: Record) -> None:
-        """What others say of this process. It alone knows better: a restart that forgot, a clock set back, an
-        accusation, an end that was told of the life before, all are overruled by a higher incarnation.
+        """Overrules a received record of this member with a higher incarnation, unless it is the own or
+        older.
+
+        Such records come from a restart without a snapshot, a clock that was set back, a suspicion, or the
+        end of an earlier incarnation.
         """
         if record.boot == self.me.boot and record.rank <= self.me.rank:
             return
@@ -566,12 +605,12 @@
         if record.incarnation < self.me.incarnation:
             return
         if record.boot == self.me.boot and record.state is State.SUSPECT:
-            self.health = min(WORST, self.health + 1)
+            self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
         self.counts["refuted"] += 1
         self._update_own_record(now, incarnation=record.incarnation + 1)
-        if not self.leaving:  # at once: on the back of the next probes alone it may come too late
-            able = self._others((State.ALIVE,))
-            for key in self.rng.sample(able, min(HELPERS, len(able))):
+        if not self.leaving:  # sent at once: piggybacked on later probes it may arrive too late
+            candidates = self._others((State.ALIVE,))
+            for key in self.rng.sample(candidates, min(HELPERS, len(candidates))):
                 self.actions.append(
                     Send(self.table.records[key].address, Updates(self._header(), (self.me,)))
                 )
@@ -579,36 +618,40 @@
             self.actions.append(
                 Notice(
                     "accused",
-                    f"called {record.state.name.lower()} in incarnation {record.incarnation}, taken back",
+                    f"declared {record.state.name.lower()} in incarnation {record.incarnation}, refuted",
                 )
             )
 
     def _update_own_record(self, now: float, **changes: object) -> None:
-        """A new own record. Where only the incarnation does not say so, it rises: a life never comes back."""
+        """Replaces the own record.
+
+        Callers raise the incarnation if the new record would not outrank the old one without it.
+        """
         self.me = msgspec.structs.replace(self.me, **changes)
         self.table.put(now, self.me)
 
-    def _conflict(self, record: Record) -> None:
-        """Two processes that claim one name from two addresses: both are told, and neither takes the other
-        down.
+    def _check_name_conflict(self, record: Record) -> None:
+        """Reports another member that claims this member's name from a different address.
+
+        Both members report the conflict, and neither stops the other.
         """
         if record.name != self.me.name or record.key == self.me.key:
             return
         if record.state in (State.ALIVE, State.JOINING):
-            if record.key not in self.taken and len(self.taken) < 64:
-                self.taken[record.key] = None
+            if record.key not in self.name_conflicts and len(self.name_conflicts) < 64:
+                self.name_conflicts[record.key] = None
                 self.actions.append(Notice("name taken", f"{record.name} is at {record.address} too"))
         else:
-            self.taken.pop(record.key, None)
+            self.name_conflicts.pop(record.key, None)
 
-    def now_is(self, now: float, version: str, config: str) -> list[Action]:
-        """The configuration was read again."""
+    def update_configuration(self, now: float, version: str, config: str) -> list[Action]:
+        """Publishes a changed version or configuration digest."""
         if (version, config) != (self.me.version, self.me.config):
             self._update_own_record(now, version=version, config=config, incarnation=self.me.incarnation + 1)
         return self._take_actions()
 
     def leave(self, now: float) -> list[Action]:
-        """A planned stop: said to some at once, who spread it."""
+        """Announces a planned stop to some members at once; they disseminate it."""
         if self.leaving:
             return []
         self.leaving = True
@@ -618,16 +661,16 @@
             self.actions.append(Send(self.table.records[key].address, Updates(self._header(), (self.me,))))
         return self._take_actions()
 
-    # what is told
+    # reports
 
-    def sites(self) -> dict[str, dict[str, int]]:
-        """For each site how many of its members are in which state, joining ones as alive."""
-        found: dict[str, dict[str, int]] = {}
+    def count_by_site(self) -> dict[str, dict[str, int]]:
+        """Counts the members of each site by state; joining members count as alive."""
+        counts: dict[str, dict[str, int]] = {}
         for r in self.table.records.values():
-            row = found.setdefault(r.site, {"alive": 0, "suspect": 0, "gone": 0, "left": 0})
+            row = counts.setdefault(r.site, {"alive": 0, "suspect": 0, "gone": 0, "left": 0})
             row["alive" if r.state is State.JOINING else r.state.name.lower()] += 1
-        return found
+        return counts
 
     def known_records(self) -> Iterable[Record]:
-        """All records, of ended members and of the own one too."""
+        """All records, including those of ended members and the own one."""
         return self.table.records.values()
--- a/softswitch/net/peers.py
+++ b/softswitch/net/peers.py
@@ -191,7 +191,7 @@
             host.management_address,
         )
         seeds = dict.fromkeys((*table.seeds, *(previous.other_addresses if previous else ())))
-        periods = Periods(period=table.period_ms, answer=table.answer_ms)
+        periods = Periods(period=table.period_ms, ack_timeout=table.answer_ms)
         self.member = Member(table.name, me, seeds, periods, random.getrandbits(64), self.wheel.now)
         deadline = max((c.deadline for c in host.settings.classes), default=0.0) or DEFAULT_CALL_DEADLINE
         self.fleet_size = FleetSize(host.settings.fleet_size, deadline + LINGER_MARGIN)
@@ -288,7 +288,9 @@
     def reload(self, table: Any, settings: Any) -> str:
         """Applies changed settings. Returns the table's name if a change of it needs a restart."""
         self.fleet_size.configured = settings.fleet_size
-        self._carry_out(self.member.now_is(self.wheel.now, self.host.version, settings_digest(settings)))
+        self._carry_out(
+            self.member.update_configuration(self.wheel.now, self.host.version, settings_digest(settings))
+        )
         self.applied_size = settings.fleet_size  # the reload has already applied it to the switch
         self._apply_size()
         return "" if table == self.table else "fleet"
@@ -304,7 +306,7 @@
             "left": count[State.LEFT],
             "cut_off": self.member.cut_off,
             "size": self.applied_size,
-            "health": self.member.health,
+            "health": self.member.health_score,
             **{what.replace(" ", "_"): n for what, n in counts.items()},
         }
 
@@ -516,9 +518,9 @@
             "joined": member.me.state is not State.JOINING,
             "digest": f"{table.digest:016x}",
             "size": self.applied_size,
-            "names_taken": list(member.taken),
-            "refused": member.refusals,
-            "sites": member.sites(),
+            "names_taken": list(member.name_conflicts),
+            "refused": member.rejections,
+            "sites": member.count_by_site(),
             "members": members,
         }
 
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -37,7 +37,7 @@
 
 def member(name="n0", seeds=(), now=0.0, **more):
     made = Member("f", record(name, State.JOINING, boot=1, **more), seeds, Periods(), 3, now)
-    made._joined(now)
+    made._complete_join(now)
     return made
 
 
@@ -202,7 +202,7 @@
     acts = m.tick(30_000.0)
     assert m.counts["standstills"] == 1
     assert m.counts["accused"] == 0
-    assert m.health == 1
+    assert m.health_score == 1
     assert not [a for a in acts if isinstance(a, MemberChanged)]
 
 
@@ -212,13 +212,13 @@
     said = []
     while now < 60_000.0:
         now = max(now + 1.0, m.next_at())
-        m.heard_at = now  # something is heard, from nobody of use
+        m.last_received_at = now  # something is heard, from nobody of use
         said += m.tick(now)
     assert m.cut_off
     assert "cut off" in [a.event for a in said if isinstance(a, Notice)]
     states = {r.state for r in m.known_records() if r.name != "n0"}
     assert states == {State.SUSPECT}
-    assert m.sites()[""]["gone"] == 0
+    assert m.count_by_site()[""]["gone"] == 0
 
 
 def test_one_that_hears_nobody_accuses_nobody():
