--- a/softswitch/fleet/messages.py
+++ b/softswitch/fleet/messages.py
@@ -1,4 +1,8 @@
-"""What members say to each other, as typed messages. `net/peers.py` puts them on the wire."""
+"""Messages between members of a fleet. `net/peers.py` sends and receives them.
+
+On the wire they are msgpack arrays with a numeric tag: names of types and fields may change, their order may
+not.
+"""
 
 from __future__ import annotations
 
@@ -7,12 +11,12 @@
 
 from msgspec import Meta, Struct
 
-FORMAT = 1  # of these messages; another one is refused with a reason
-ID_BITS = 62  # of digests and of what tells one start of a process from another
-BUCKETS = 64  # parts of a table that are compared by digest
+FORMAT = 1  # of these messages; messages of other formats are rejected with a reason
+ID_BITS = 62  # of digests and of boot ids
+BUCKETS = 64  # of a table; each is compared by its digest
 
 Text = Annotated[str, Meta(min_length=1, max_length=64)]
-# host:port; no names to look up, and no port that a socket would not take
+# host:port; an IPv4 address without name lookup, and a port that a socket can bind
 OCTET = r"(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])"
 PORT = r"(6553[0-5]|655[0-2][0-9]|65[0-4][0-9]{2}|6[0-4][0-9]{3}|[1-5][0-9]{4}|[1-9][0-9]{0,3})"
 Address = Annotated[str, Meta(max_length=21, pattern=rf"^{OCTET}(\.{OCTET}){{3}}:{PORT}\Z")]
@@ -21,68 +25,67 @@
 
 
 class State(IntEnum):
-    """In the order in which one overrides the other at the same incarnation."""
+    """Member states; at the same incarnation a higher value overrides a lower one."""
 
-    JOINING = 0  # started, and has not yet exchanged views with anyone
+    JOINING = 0  # started, and has not exchanged tables with any member yet
     ALIVE = 1
-    SUSPECT = 2  # did not answer; takes it back by a higher incarnation
-    GONE = 3  # found dead; final for this incarnation
-    LEFT = 4  # said that it stops; final for this incarnation
+    SUSPECT = 2  # did not answer; the member can refute it with a higher incarnation
+    GONE = 3  # declared dead; final for this incarnation
+    LEFT = 4  # announced its stop; final for this incarnation
 
 
 ENDED = (State.GONE, State.LEFT)
 
 
 class Record(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What is said of one member. The owner alone raises the incarnation; others only add a worse state to
-    it.
+    """The state of one member.
+
+    Only the member itself raises the incarnation; others only set a state that overrides the current one.
     """
 
     name: Text
-    address: Address  # host:port; with the name, who it is
+    address: Address  # host:port; with the name, identifies the member
     incarnation: UnsignedInt
     state: State
-    boot: Digest  # drawn at each start of the process
+    boot: Digest  # random id of this start of the process
     site: Annotated[str, Meta(max_length=64)] = ""
     version: Annotated[str, Meta(max_length=32)] = ""
-    config: Annotated[str, Meta(max_length=32)] = ""  # digest of its configuration
-    mgmt: Annotated[str, Meta(max_length=64)] = ""  # where operators call
+    config: Annotated[str, Meta(max_length=32)] = ""  # digest of its settings
+    mgmt: Annotated[str, Meta(max_length=64)] = ""  # management address
 
     @property
     def key(self) -> str:
-        """Name and address: what tells members apart."""
+        """Name and address, which identify a member."""
         return f"{self.name}@{self.address}"
 
     @property
     def rank(self) -> tuple[int, int, int, str, str, str, str]:
-        """A total order: of two records of one member the greater one holds, whatever the order they come
-        in.
-        """
+        """A total order: of two records of one member the higher one wins, in whatever order they arrive."""
         return (self.incarnation, self.state, self.boot, self.version, self.config, self.site, self.mgmt)
 
 
 RecordBatch = Annotated[tuple[Record, ...], Meta(max_length=64)]
 RecordList = Annotated[tuple[Record, ...], Meta(max_length=20_000)]
-# Seconds since each of the records with it came to its end, 0 for those that have not: a tombstone's life
-# goes on, whoever hears of it.
+# For each record of the message the seconds since the member ended; 0 for members that have not ended. So a
+# tombstone expires at the same time at every member.
 Ages = Annotated[tuple[Annotated[int, Meta(ge=0, lt=1 << 32)], ...], Meta(max_length=20_000)]
 BucketIndices = Annotated[tuple[Annotated[int, Meta(ge=0, lt=BUCKETS)], ...], Meta(max_length=BUCKETS)]
 BucketDigests = Annotated[tuple[Digest, ...], Meta(min_length=BUCKETS, max_length=BUCKETS)]
 
 
 class Header(Struct, frozen=True, array_like=True):
-    """Who speaks: fleet, format, and the sender's own record."""
+    """Common to the protocol messages: fleet, format, the sender's own record and a digest of its table."""
 
     fleet: Text
     format: int
     sender: Record
-    digest: Digest  # of its whole table
-    # by own probes
+    digest: Digest  # of the sender's complete table
+    # keys of members that the sender suspects because its own probes failed
     accuses: Annotated[tuple[Annotated[str, Meta(max_length=160)], ...], Meta(max_length=4)] = ()
 
 
 class Ping(Struct, frozen=True, array_like=True, tag=1):
-    """Are you there? `to` is the key of who is meant: another process may have the address by now."""
+    """A probe. `to` is the key of the probed member: another member may use the address by now."""
 
     header: Header
     seq: UnsignedInt
@@ -91,7 +94,7 @@
 
 
 class Ack(Struct, frozen=True, array_like=True, tag=2):
-    """The answer to a probe."""
+    """Answers a probe."""
 
     header: Header
     seq: UnsignedInt
@@ -99,7 +102,7 @@
 
 
 class PingRequest(Struct, frozen=True, array_like=True, tag=3):
-    """Ping this one for me."""
+    """Requests an indirect probe of the member `to`."""
 
     header: Header
     seq: UnsignedInt
@@ -109,28 +112,28 @@
 
 
 class Nack(Struct, frozen=True, array_like=True, tag=4):
-    """Asked, and nothing heard from it: at least I am there."""
+    """Answers a PingRequest: the probe failed so far, but the helper itself is reachable."""
 
     header: Header
     seq: UnsignedInt
 
 
 class Updates(Struct, frozen=True, array_like=True, tag=5):
-    """Wants no answer."""
+    """Sends updates without a probe; not answered."""
 
     header: Header
     updates: RecordBatch
 
 
 class CompareDigests(Struct, frozen=True, array_like=True, tag=6):
-    """Opens an exchange: digests of all buckets of the sender's table."""
+    """Opens an exchange with the digests of all buckets of the sender's table."""
 
     header: Header
     buckets: BucketDigests
 
 
 class DifferingRecords(Struct, frozen=True, array_like=True, tag=7):
-    """The answer: in which buckets the tables differ, and what stands there."""
+    """Answers CompareDigests: the buckets that differ, and the sender's records in them."""
 
     header: Header
     buckets: BucketIndices
@@ -139,7 +142,7 @@
 
 
 class RemainingRecords(Struct, frozen=True, array_like=True, tag=8):
-    """Ends an exchange: what the opener has in those buckets."""
+    """Ends an exchange: the opener's records in the differing buckets."""
 
     header: Header
     records: RecordList
@@ -147,13 +150,13 @@
 
 
 class Rejected(Struct, frozen=True, array_like=True, tag=9):
-    """The exchange was refused, for this reason."""
+    """Rejects a message, with a reason."""
 
     reason: Annotated[str, Meta(max_length=200)]
 
 
 class ComponentMessage(Struct, frozen=True, array_like=True, tag=10):
-    """What another part of the program says to its like at another member. The view takes no notice of it."""
+    """A message of another component to the same component of another member. The view ignores it."""
 
     fleet: Text
     format: int
--- a/softswitch/fleet/size.py
+++ b/softswitch/fleet/size.py
@@ -1,8 +1,8 @@
-"""How many softswitches share what a cold engine bears, by the view: it rises at once, and falls with care.
+"""The fleet size by which the decision module divides the capacity of warming engines.
 
-A member counts from the moment it is known until its last attempts have ended: `linger` ms after it left, was
-found gone, or was heard of again. While this process is cut off the number never falls, and before it has
-joined the file's number holds, as long as that is the greater one.
+The size rises at once and falls with a delay: a member counts from the moment it is known until its last
+attempts have ended, `linger` ms after this process learned that it left or is gone. While this process is cut
+off, the size never falls. Before this process has joined, the size is at least the configured one.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
 
 
 class FleetSize:
-    """Owner of the number that the module is told."""
+    """Computes the fleet size that the decision module uses."""
 
     def __init__(self, configured: int, linger: float) -> None:
         self.configured, self.linger = configured, linger
         self.size = configured
-        self.until: dict[str, float] = {}  # names that ended: until when they count
+        self.counts_until: dict[str, float] = {}  # ended members by name: when they stop counting
 
     def update(self, now: float, records: Iterable[Record], joined: bool, cut_off: bool) -> int:
-        """The number that holds from now on; to be asked at each change, and once a second."""
-        there: set[str] = set()
+        """Recomputes the size. Has to be called at each change of the view, and once a second."""
+        present: set[str] = set()
         ended: set[str] = set()
         for r in records:
-            (ended if r.state in ENDED else there).add(r.name)
-        for name in ended - there:
-            self.until.setdefault(name, now + self.linger)
-        for name in [n for n in self.until if n in there or n not in ended]:
-            del self.until[name]
-        counted = len(there) + sum(now < until for until in self.until.values())
+            (ended if r.state in ENDED else present).add(r.name)
+        for name in ended - present:
+            self.counts_until.setdefault(name, now + self.linger)
+        for name in [n for n in self.counts_until if n in present or n not in ended]:
+            del self.counts_until[name]
+        counted = len(present) + sum(now < until for until in self.counts_until.values())
         if not joined:
             counted = max(counted, self.configured)
         if cut_off:
--- a/softswitch/storage/snapshot.py
+++ b/softswitch/storage/snapshot.py
@@ -1,7 +1,8 @@
-"""One small record in one file: versioned, with a checksum, replaced as a whole.
+"""A file with one small record: versioned, with a checksum, replaced atomically.
 
-What was written is there whole after a kill, or what was there before is. Written beside the file, synced and
-renamed over it; then the folder is synced. The calls block: they belong in a thread.
+After a crash the file holds either the new or the previous record completely: the record is written to a
+temporary file, which is synced and renamed over the old one, and the folder is synced. Calls block and belong
+in a thread.
 """
 
 from __future__ import annotations
@@ -15,51 +16,52 @@
 from xxhash import xxh3_64_intdigest
 
 MAGIC = b"whsn"
-HEAD = Struct(">4sHHIQ")  # magic, kind, version, length, checksum of kind, version and what follows
-MOST = 8 << 20  # bytes of one record
+# magic, type, version, length, checksum of type, version and record
+HEADER = Struct(">4sHHIQ")
+MAX_RECORD_SIZE = 8 << 20  # bytes
 
 
 class SnapshotError(Exception):
-    """A file that can't be used; the text says why. It is left as it is."""
+    """An unusable file. The text gives the reason; the file is left unchanged."""
 
 
-class Files(Protocol):
-    """What is asked of the disk; tests put one in between that fails, or is slow."""
+class FileOperations(Protocol):
+    """File operations that a snapshot needs; tests replace it with one that fails or is slow."""
 
-    def read(self, path: Path, most: int) -> bytes:
-        """The first `most` bytes. FileNotFoundError if there is no file."""
+    def read(self, path: Path, max_size: int) -> bytes:
+        """Returns the first `max_size` bytes. FileNotFoundError if there is no file."""
 
     def write(self, path: Path, data: bytes) -> None:
-        """Written and synced; the file is not there whole before it returns."""
+        """Writes and syncs the file; it may be incomplete until this returns."""
 
     def replace(self, old: Path, new: Path) -> None:
-        """Renamed, and the folder synced."""
+        """Renames the file and syncs the folder."""
 
     def remove(self, path: Path) -> None:
-        """Removes the file if it is there."""
+        """Removes the file if it exists."""
 
 
-class Disk:
-    """The disk itself."""
+class OsFileOperations:
+    """File operations of the operating system."""
 
-    def read(self, path: Path, most: int) -> bytes:
-        """See `Files.read`."""
+    def read(self, path: Path, max_size: int) -> bytes:
+        """See `FileOperations.read`."""
         with open(path, "rb") as file:
-            return file.read(most)
+            return file.read(max_size)
 
     def write(self, path: Path, data: bytes) -> None:
-        """See `Files.write`."""
+        """See `FileOperations.write`."""
         fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
-            at = 0
-            while at < len(data):
-                at += os.write(fd, data[at:])
+            written = 0
+            while written < len(data):
+                written += os.write(fd, data[written:])
             os.fsync(fd)
         finally:
             os.close(fd)
 
     def replace(self, old: Path, new: Path) -> None:
-        """See `Files.replace`."""
+        """See `FileOperations.replace`."""
         os.replace(old, new)
         folder = os.open(new.parent, os.O_RDONLY | os.O_CLOEXEC)
         try:
@@ -68,52 +70,57 @@
             os.close(folder)
 
     def remove(self, path: Path) -> None:
-        """See `Files.remove`."""
+        """See `FileOperations.remove`."""
         path.unlink(missing_ok=True)
 
 
 class Snapshot:
-    """Owner of one file. `kind` and `version` tell what its record holds."""
+    """One snapshot file. `record_type` and `version` identify the content of its record."""
 
-    def __init__(self, path: Path, kind: int, version: int, files: Files | None = None) -> None:
-        self.path, self.kind, self.version = path, kind, version
-        self.files = files or Disk()
-        self.beside = path.with_name(f"{path.name}.{os.getpid()}.new")
+    def __init__(
+        self, path: Path, record_type: int, version: int, files: FileOperations | None = None
+    ) -> None:
+        self.path, self.record_type, self.version = path, record_type, version
+        self.files = files or OsFileOperations()
+        self.temporary_path = path.with_name(f"{path.name}.{os.getpid()}.new")
 
     def read(self, versions: tuple[int, ...] = ()) -> tuple[int, bytes] | None:
-        """Version and record; None if there is no file. `versions`: older ones that the caller can read too.
-        SnapshotError if it is not what was written, or of another version; OSError if the disk refuses.
+        """Returns version and record, or None if there is no file. `versions`: further readable versions.
+
+        SnapshotError if the file is corrupt or of another version; OSError if reading fails.
         """
         try:
-            data = self.files.read(self.path, MOST + HEAD.size + 1)
+            data = self.files.read(self.path, MAX_RECORD_SIZE + HEADER.size + 1)
         except FileNotFoundError:
             return None
-        if len(data) < HEAD.size:
-            raise SnapshotError(f"{self.path}: cut short at {len(data)} bytes")
-        magic, kind, version, length, checksum = HEAD.unpack_from(data)
-        record = data[HEAD.size :]
-        if magic != MAGIC or kind != self.kind:
-            raise SnapshotError(f"{self.path}: no snapshot of this kind")
-        if len(record) != length or checksum != _checksum(kind, version, record):
-            raise SnapshotError(f"{self.path}: spoilt, its checksum is another")
+        if len(data) < HEADER.size:
+            raise SnapshotError(f"{self.path}: truncated to {len(data)} bytes")
+        magic, record_type, version, length, checksum = HEADER.unpack_from(data)
+        record = data[HEADER.size :]
+        if magic != MAGIC or record_type != self.record_type:
+            raise SnapshotError(f"{self.path}: not a snapshot of this type")
+        if len(record) != length or checksum != _checksum(record_type, version, record):
+            raise SnapshotError(f"{self.path}: corrupt, the checksum does not match")
         if version != self.version and version not in versions:
-            raise SnapshotError(f"{self.path}: of version {version}, {self.version} is read here")
+            raise SnapshotError(
+                f"{self.path}: version {version} is not supported, {self.version} is expected"
+            )
         return version, record
 
     def write(self, record: bytes) -> None:
-        """Replaces what was there. OSError if the disk refuses; then what was there before is there still."""
-        if len(record) > MOST:
-            raise ValueError(f"a record of {len(record)} bytes; at most {MOST}")
-        checksum = _checksum(self.kind, self.version, record)
-        data = HEAD.pack(MAGIC, self.kind, self.version, len(record), checksum) + record
+        """Replaces the record. OSError if writing fails; then the file still holds the previous record."""
+        if len(record) > MAX_RECORD_SIZE:
+            raise ValueError(f"the record has {len(record)} bytes; the maximum is {MAX_RECORD_SIZE}")
+        checksum = _checksum(self.record_type, self.version, record)
+        data = HEADER.pack(MAGIC, self.record_type, self.version, len(record), checksum) + record
         try:
-            self.files.write(self.beside, data)
-            self.files.replace(self.beside, self.path)
+            self.files.write(self.temporary_path, data)
+            self.files.replace(self.temporary_path, self.path)
         except OSError:
             with contextlib.suppress(OSError):
-                self.files.remove(self.beside)
+                self.files.remove(self.temporary_path)
             raise
 
 
-def _checksum(kind: int, version: int, record: bytes) -> int:
-    return xxh3_64_intdigest(kind.to_bytes(2, "big") + version.to_bytes(2, "big") + record)
+def _checksum(record_type: int, version: int, record: bytes) -> int:
+    return xxh3_64_intdigest(record_type.to_bytes(2, "big") + version.to_bytes(2, "big") + record)
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -27,7 +27,7 @@
 from softswitch.fleet.size import FleetSize
 from softswitch.standin.faults.fleet_simulation import World, play
 from softswitch.standin.faults.schedule import BadSchedule, Fault, drawn, of_json, selected
-from softswitch.storage.snapshot import Disk, Snapshot, SnapshotError
+from softswitch.storage.snapshot import OsFileOperations, Snapshot, SnapshotError
 
 
 def record(name, state=State.ALIVE, incarnation=1, boot=7, **more):
@@ -427,7 +427,7 @@
 # the snapshot
 
 
-class Failing(Disk):
+class Failing(OsFileOperations):
     """A disk that fails at a step, or writes a part only."""
 
     def __init__(self, step):
@@ -473,7 +473,7 @@
                 Snapshot(path, 1, 1).read()
             assert path.read_bytes() == data
     path.write_bytes(whole)
-    with pytest.raises(SnapshotError, match="of version 1, 2 is read here"):
+    with pytest.raises(SnapshotError, match="version 1 is not supported, 2 is expected"):
         Snapshot(path, 1, 2).read()
     assert Snapshot(path, 1, 2).read(versions=(1,)) == (1, b"what was known")
 
