--- a/softswitch/budgets/__init__.py
+++ b/softswitch/budgets/__init__.py
@@ -1,1 +1,1 @@
-"""What the fleet may spend, who holds which part of it until when. Pure: no I/O, no clock."""
+"""Budgets of the fleet: division into slots that members hold on lease. Pure: no I/O, no clock."""
--- a/softswitch/budgets/allocator.py
+++ b/softswitch/budgets/allocator.py
@@ -1,11 +1,12 @@
-"""The allocator: how one is elected by lease, and what it grants.
+"""The allocator: its election by lease, and the grants that it makes.
 
-At most one process is the allocator at any instant of true time: it needs the promises of a quorum of the
-voters, counts on each for less than the voter keeps it, and asks its clock before each grant.
+At most one process is the allocator at any instant of true time: it needs promises of a quorum of the voters,
+relies on each promise for less time than the voter keeps it, and checks its clock before each grant.
 
-The ledger of the allocator before is not read: nothing new is granted until all that it granted has expired.
-What a holder still holds from it is renewed meanwhile, if the holder reports it after having heard of this
-epoch: the epoch before ended first, so it can't have given that to somebody else.
+A new allocator does not read the ledger of its predecessor: it grants no further slots until all earlier
+grants have expired. Meanwhile it renews what a holder still holds, if the holder reports it after it received
+this epoch: the previous epoch had ended by then, so its allocator can't have granted the slots to another
+holder.
 """
 
 from __future__ import annotations
@@ -29,27 +30,25 @@
 from softswitch.budgets.plan import Plan
 
 EPOCH_BITS = 62
-ANSWER_TIMEOUT = 400.0  # ms that voters have to answer a candidate
-RENEW_SOON = 350.0  # ms after which a holder that has less than its target asks again
-MAX_ROUNDS = 4  # rounds of promises that may still be answered
-MAX_OUTSTANDING = 64  # grants of one holder that may still be held
-# ms before a candidate tries: by its place in the list, and drawn
+ANSWER_TIMEOUT = 400.0  # ms for voters to answer a candidate
+RENEW_SOON = 350.0  # ms after which a holder below its target requests again
+MAX_ROUNDS = 4  # rounds of promise requests whose answers are still accepted
+MAX_OUTSTANDING = 64  # unexpired grants of one holder
+# ms before a candidate starts: per place in the list of voters, and random
 RANK_DELAY, MAX_RANDOM_DELAY = 100.0, 150.0
-PROMISED_ELSEWHERE_DELAY = 100.0  # ms before it looks again whether its own voter is promised to another
+PROMISED_ELSEWHERE_DELAY = 100.0  # ms before the next attempt if the own voter has promised itself to another
 
 
 @dataclass(slots=True)
 class Round:
-    """One round of promises."""
+    """One round of promise requests."""
 
     sent_at: float
-    voters: set[str] = field(default_factory=set)  # that promised themselves
+    voters: set[str] = field(default_factory=set)  # whose promise has arrived
 
 
 class Allocator:
-    """This voter's way to become the allocator, and what it does as one. Owner of the promises given to
-    it.
-    """
+    """A voter as candidate and allocator. Keeps the promises that it received."""
 
     def __init__(self, plan: Plan, address: str, voters_digest: int, rng: Random, now: float) -> None:
         self.plan = plan
@@ -57,12 +56,12 @@
         self.voters_digest = voters_digest
         self.rng = rng
         self.rank = plan.voters.index(address) if address in plan.voters else 0
-        self.term = 0  # the highest heard of
-        self.candidate_epoch: Epoch = NO_EPOCH  # that promises are asked for
-        self.epoch: Epoch = NO_EPOCH  # that grants are given under; its number is drawn as it begins
+        self.term = 0  # the highest known
+        self.candidate_epoch: Epoch = NO_EPOCH  # for which promises are requested
+        self.epoch: Epoch = NO_EPOCH  # of the grants; its random number is generated when it begins
         self.round = 0
         self.rounds: dict[int, Round] = {}
-        self.until = now  # it is the allocator until then, by this process's clock
+        self.until = now  # end of the leadership, by this process's clock
         self.campaign_ends = now
         self.next_campaign = now + plan.promise + self._campaign_delay()
         self.next_round = now
@@ -73,7 +72,7 @@
         self.last_denial = ""
 
     def _campaign_delay(self) -> float:
-        """Those who come first in the list try first, so that candidates seldom meet."""
+        """Voters earlier in the list start earlier, so that candidates rarely compete."""
         return RANK_DELAY * self.rank + self.rng.uniform(0.0, MAX_RANDOM_DELAY)
 
     def is_leader(self, now: float) -> bool:
@@ -81,18 +80,19 @@
         return self.epoch != NO_EPOCH and now < self.until
 
     def next_at(self) -> float:
-        """When `tick` is to be called next."""
+        """The time of the next call of `tick`."""
         if self.candidate_epoch == NO_EPOCH:
             return self.next_campaign
         leading = self.epoch != NO_EPOCH
         return min(self.next_round, self.ledger.next_division if leading else self.campaign_ends)
 
     def tick(self, now: float, promised_to: str) -> list[Message]:
-        """Time went on. `promised_to`: whom the own voter has promised itself to. The result goes to all
-        voters.
+        """Handles due timers. `promised_to`: the address to which the own voter has promised itself.
+
+        The returned messages go to all voters.
         """
         if self.epoch != NO_EPOCH and now >= self.until:
-            self.resign()  # lost; nothing of its ledger counts any more
+            self.resign()  # leadership expired; the ledger is void
             self.next_campaign = now + self._campaign_delay()
         if self.candidate_epoch == NO_EPOCH:
             return self._start_campaign(now, promised_to)
@@ -121,9 +121,7 @@
         return [withdrawn]
 
     def resign(self) -> Epoch:
-        """Is neither the allocator nor a candidate from now on; the epoch that no promise is counted on
-        for.
-        """
+        """Ends leadership or candidacy. Returns the epoch whose promises are released."""
         withdrawn = self.candidate_epoch
         self.epoch = NO_EPOCH
         self.candidate_epoch = NO_EPOCH
@@ -138,16 +136,16 @@
         return PromiseRequest(self.address, self.candidate_epoch, self.round, self.voters_digest)
 
     def promise_received(self, now: float, promise: Promise) -> bool:
-        """True: this process becomes the allocator by it."""
-        found = self.rounds.get(promise.round)
-        if promise.epoch != self.candidate_epoch or self.candidate_epoch == NO_EPOCH or found is None:
+        """Counts a promise. Returns whether this process becomes the allocator by it."""
+        round_ = self.rounds.get(promise.round)
+        if promise.epoch != self.candidate_epoch or self.candidate_epoch == NO_EPOCH or round_ is None:
             return False
         if promise.voter not in self.plan.voters:
             return False
-        found.voters.add(promise.voter)
-        if len(found.voters) < self.plan.quorum:
+        round_.voters.add(promise.voter)
+        if len(round_.voters) < self.plan.quorum:
             return False
-        until = found.sent_at + self.plan.leadership
+        until = round_.sent_at + self.plan.leadership
         if self.epoch == NO_EPOCH:
             return self._begin_epoch(now, until)
         if now < self.until:
@@ -157,7 +155,8 @@
     def _begin_epoch(self, now: float, until: float) -> bool:
         if now >= until:
             return False
-        # Of this number nobody can have heard before now: an echo of it was sent after the epoch began.
+        # The number was not known to any process before, so a request that echoes it was sent after the epoch
+        # began.
         self.epoch = (self.candidate_epoch[0], self.rng.getrandbits(EPOCH_BITS))
         self.until = until
         self.grant_number = 0
@@ -166,18 +165,19 @@
         return True
 
     def denial_received(self, denial: PromiseDenied) -> None:
-        """A voter has not promised itself."""
+        """Records that a voter has denied its promise."""
         self.term = max(self.term, denial.term)
         self.last_denial = f"{denial.voter}: {denial.why}"
 
     def lease_requested(self, now: float, request: LeaseRequest) -> LeaseGrant | Redirect | None:
-        """The answer to a holder; to be asked only while this process `is_leader`."""
+        """Returns the answer to a holder, or None. Must be called only while `is_leader`."""
         holder = self.ledger.request_received(now, request, self.epoch[1])
         if holder is None or request.returns_all or len(holder.grants) >= MAX_OUTSTANDING:
-            return None  # with so many still held it has to wait: none of them may be left out of the ledger
+            # an unexpired grant may not be dropped from the ledger: the holder has to wait
+            return None
         echoes = request.epoch == self.epoch
         if not echoes and request.basis[0] != self.epoch[1]:
-            return Redirect(self.epoch, self.address)  # it asks again, knowing of this epoch
+            return Redirect(self.epoch, self.address)  # the holder then requests again and echoes this epoch
         if now >= self.ledger.next_division:
             self.ledger.divide(now)
         slots = self._slots_for(now, request, holder, echoes)
@@ -188,17 +188,17 @@
     def _slots_for(
         self, now: float, request: LeaseRequest, holder: HolderRecord, echoes: bool
     ) -> dict[str, int] | None:
-        """What may be granted; None: the holder has to hear of this epoch first."""
+        """Slots that may be granted, by budget; None if the holder has to receive this epoch first."""
         slots: dict[str, int] = {}
-        for asked in request.budgets:
-            if asked.name not in self.plan.by_name:
+        for entry in request.budgets:
+            if entry.name not in self.plan.by_name:
                 continue
-            if self.ledger.earlier_epoch_over(now, asked.name):
-                leased = holder.leased.get(asked.name, 0)
-                most = leased + max(0, self.ledger.available(now, asked.name))
-                slots[asked.name] = min(holder.targets.get(asked.name, 0), most)
+            if self.ledger.earlier_epoch_over(now, entry.name):
+                leased = holder.leased.get(entry.name, 0)
+                limit = leased + max(0, self.ledger.available(now, entry.name))
+                slots[entry.name] = min(holder.targets.get(entry.name, 0), limit)
             elif echoes:
-                slots[asked.name] = asked.leased
+                slots[entry.name] = entry.leased
             else:
                 return None
         return slots
--- a/softswitch/budgets/division.py
+++ b/softswitch/budgets/division.py
@@ -1,4 +1,4 @@
-"""Division of a total by need: weighted max-min, in whole slots."""
+"""Weighted max-min fair division of a total, in whole slots."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 
 
 def divide(total: int, needs: Sequence[int], weights: Sequence[float]) -> list[int]:
-    """So many slots to each, no more than it needs, and as even by weight as that allows.
+    """Returns the slots for each need: at most the need, and otherwise in proportion to its weight.
 
-    What nobody needs is left over. Deterministic; O(n log n). Each gets min(need, level * weight) rounded
-    down, for the highest level at which the sum fits; the slots that rounding leaves go to those whose share
-    was cut most, the first of equals first.
+    Slots that no one needs remain undivided. Deterministic; O(n log n). Each gets min(need, level * weight)
+    rounded down, for the highest level at which the sum fits. The slots that remain by rounding go to the
+    largest fractional parts, in order of index if equal.
     """
-    parts = [0] * len(needs)
+    slots = [0] * len(needs)
     if total <= 0 or not needs:
-        return parts
+        return slots
     weights = [max(weight, MIN_WEIGHT) for weight in weights]
     by_level = sorted(range(len(needs)), key=lambda k: needs[k] / weights[k])
     remaining, remaining_weight = float(total), sum(weights)
     for place, k in enumerate(by_level):
         if needs[k] * remaining_weight > remaining * weights[k]:
             level = remaining / remaining_weight
-            _divide_rest(total, needs, [level * weight for weight in weights], by_level[place:], parts)
+            _divide_rest(total, needs, [level * weight for weight in weights], by_level[place:], slots)
             break
-        parts[k] = needs[k]  # below the level: it gets all it needs
+        slots[k] = needs[k]  # below the level: the complete need
         remaining -= needs[k]
         remaining_weight -= weights[k]
-    return parts
+    return slots
 
 
 def _divide_rest(
-    total: int, needs: Sequence[int], exact: Sequence[float], rest: Sequence[int], parts: list[int]
+    total: int, needs: Sequence[int], exact: Sequence[float], rest: Sequence[int], slots: list[int]
 ) -> None:
-    """Rounds the exact parts of those above the level, and hands out what that leaves."""
+    """Rounds the exact slots of the needs above the level, and distributes the remaining slots."""
     for k in rest:
-        parts[k] = min(needs[k], int(exact[k]))
-    spare = total - sum(parts)
+        slots[k] = min(needs[k], int(exact[k]))
+    spare = total - sum(slots)
     for k in sorted(rest, key=lambda k: (int(exact[k]) - exact[k], k)):
-        if spare > 0 and parts[k] < needs[k]:
-            parts[k] += 1
+        if spare > 0 and slots[k] < needs[k]:
+            slots[k] += 1
             spare -= 1
--- a/softswitch/budgets/lease_client.py
+++ b/softswitch/budgets/lease_client.py
@@ -1,6 +1,6 @@
-"""One member's part in the budgets of the fleet: it holds a lease, it may vote, it may be the allocator.
+"""One member's roles in the lease protocol: holder, and if it is a voter also voter and allocator.
 
-Events in, actions out. `now` is a clock in ms that is never set and goes on while the machine sleeps.
+Events in, actions out. `now` is a clock in ms that is never set and continues while the machine sleeps.
 """
 
 from __future__ import annotations
@@ -27,25 +27,25 @@
 from softswitch.budgets.voter import Voter
 
 DIGEST_SIZE = 7  # bytes
-PLAN_CHANGED_DELAY = 200.0  # ms before an allocator whose plan changed tries again
+PLAN_CHANGED_DELAY = 200.0  # ms before an allocator that resigned because of a new plan is a candidate again
 
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """A message to this member."""
+    """Send a message to this member."""
 
     to: str
     message: Message
 
 
 class NoticeKind(Enum):
-    """What operators are told of. The values are in the log."""
+    """Types of notices. The values appear in the log."""
 
-    ELECTED = "office taken"
-    DEPOSED = "office lost"
-    AT_THE_FLOOR = "at the floor"
-    GRANTED_AGAIN = "granted again"
-    TOTAL_LOWERED = "whole lowered"
+    ELECTED = "elected allocator"
+    DEPOSED = "no longer allocator"
+    AT_THE_FLOOR = "lease expired"
+    GRANTED_AGAIN = "lease granted"
+    TOTAL_LOWERED = "total lowered"
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,15 +60,16 @@
 
 
 def voters_digest(plan: Plan) -> int:
-    """Of all that voters must agree on: who they are, and the times that the proof of one allocator rests
-    on.
+    """A digest of the settings on which voters have to agree.
+
+    These are the list of voters and the times that guarantee at most one allocator.
     """
     agreed = f"{sorted(plan.voters)} {plan.promise} {plan.lease} {plan.drift}".encode()
     return int.from_bytes(blake2b(agreed, digest_size=DIGEST_SIZE).digest(), "big")
 
 
 class LeaseClient:
-    """The holder, and where this member votes the voter and the allocator beside it."""
+    """Combines the holder with, on a voter, the voter and the allocator."""
 
     def __init__(self, plan: Plan, address: str, boot: int, seed: int, now: float) -> None:
         self.plan = plan
@@ -79,16 +80,16 @@
         self.allocator = Allocator(plan, address, digest, rng, now)
         self.holder = LeaseHolder(plan, address, boot, rng, now)
         self._actions: list[Action] = []
-        self._own_messages: list[Message] = []  # what it sends itself
-        # As operators were told last:
+        self._own_messages: list[Message] = []  # messages of this member to itself
+        # as reported by the last notices:
         self._was_leader = False
         self._was_at_the_floor = True
         self._totals = {budget.name: budget.total for budget in plan.budgets}
 
-    # time
+    # timers
 
     def next_at(self) -> float:
-        """When `tick` is to be called next, at the latest."""
+        """The latest time of the next call of `tick`."""
         due = [self.holder.next_request]
         if not self.holder.has_no_lease:
             due.append(self.holder.until)
@@ -97,7 +98,7 @@
         return min(due)
 
     def tick(self, now: float) -> list[Action]:
-        """Time went on."""
+        """Handles due timers."""
         if self.votes and not self.holder.stopping:
             for message in self.allocator.tick(now, self.voter.promised_to(now)):
                 self._send_to_voters(message)
@@ -106,7 +107,7 @@
             self._send(*self.holder.request(now))
         return self._take_actions(now)
 
-    # what goes out
+    # sent messages
 
     def _send(self, to: str, message: Message) -> None:
         if to == self.address:
@@ -126,7 +127,9 @@
             self._handle(now, self._own_messages.pop(0))
         if self.holder.expired(now) and not self._was_at_the_floor:
             self._was_at_the_floor = True
-            self._note(NoticeKind.AT_THE_FLOOR, "no allocator was heard for a whole lease")
+            self._note(
+                NoticeKind.AT_THE_FLOOR, "no allocator answered for a complete lease, only the floor is left"
+            )
         actions, self._actions = self._actions, []
         return actions
 
@@ -144,10 +147,10 @@
                 self._note(NoticeKind.TOTAL_LOWERED, details)
             self._totals[name] = limits.total
 
-    # what comes in
+    # received messages
 
     def message_received(self, now: float, message: Message) -> list[Action]:
-        """Another member sent this."""
+        """Handles a message of another member."""
         self._handle(now, message)
         return self._take_actions(now)
 
@@ -196,18 +199,18 @@
         if allocator and allocator != self.address and not request.returns_all:
             self._send(request.address, Redirect(NO_EPOCH, allocator))
 
-    # what this process needs, and holds
+    # needs, slots, plan
 
     def set_needs(self, now: float, needs: Needs) -> None:
-        """What this process would spend."""
+        """Sets the needs of this process."""
         self.holder.set_needs(now, needs)
 
     def held(self, now: float, name: str) -> int:
-        """Slots that it may use at this instant, floor and all."""
+        """Slots that it may use now: floor and lease."""
         return self.holder.held(now, name)
 
     def stop(self, now: float) -> list[Action]:
-        """A planned stop: all goes back at once; an allocator's epoch ends with its promises."""
+        """A planned stop: returns the lease at once; an allocator also resigns and releases its promises."""
         if not self.holder.stopping:
             self.holder.stopping = True
             self._send(*self.holder.request(now, returns_all=True))
@@ -220,17 +223,17 @@
             self._send_to_voters(EpochWithdrawn(withdrawn))
 
     def change_plan(self, now: float, plan: Plan) -> list[Action]:
-        """Another file holds from now on. Totals change at once, and floors that fall.
+        """Replaces the plan. Totals and lowered floors change at once.
 
-        What a budget is, a floor that rises, who votes and the times change at the next start only: they are
-        what slots were counted by that are leased.
+        The definition of a budget, a raised floor, the voters and the times change only at the next start,
+        because slots that are on lease now depend on them.
         """
         budgets = tuple(self._changed_budget(new) for new in plan.budgets)
         self.plan = replace(self.plan, budgets=budgets)
         self.holder.plan = self.plan
         self.voter.plan = self.plan
         self.allocator.plan = self.plan
-        if self.allocator.epoch != NO_EPOCH:  # the ledger is of the old budgets: the epoch is given up
+        if self.allocator.epoch != NO_EPOCH:  # the ledger belongs to the old budgets
             self.allocator.next_campaign = now + PLAN_CHANGED_DELAY
             self._resign()
         self._note_leadership(now)
--- a/softswitch/budgets/lease_holder.py
+++ b/softswitch/budgets/lease_holder.py
@@ -1,8 +1,8 @@
-"""A holder: asks for its lease, takes what is granted, and knows at each instant what it holds.
+"""A holder: requests leases, accepts grants, and computes the slots that it holds at any time.
 
-A lease runs from when it was asked for, by the holder's own clock, so a grant that comes late runs shorter
-and one for an earlier start of the process does not fit. A grant replaces the one that it names as its basis
-and no other: grants that overtake each other can't bring back what was given up.
+A lease runs from the time of its request by the holder's own clock, so a late grant is valid for a shorter
+time, and a grant for an earlier start of the process is not accepted. A grant replaces only the grant that it
+names as its basis: grants that arrive out of order can't restore slots that were given up.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 )
 from softswitch.budgets.plan import Plan
 
-KEPT_REQUESTS = 16  # whose grants may still come
-MIN_INTERVAL = 50.0  # ms between two requests, whatever is heard: voters may each point at the other
-RETRY_INTERVAL = 300.0  # ms after which a request that nobody answered goes out again
-GROWTH = 1.25  # times the need reported last, from which on it is reported at once
-MAX_UNANSWERED = 3  # requests that an allocator leaves unanswered before another voter is asked
-JITTER = (0.85, 1.1)  # times an interval
+MAX_PENDING_REQUESTS = 16  # whose grants are still accepted
+MIN_INTERVAL = 50.0  # ms between two requests even after redirects: two voters may redirect to each other
+RETRY_INTERVAL = 300.0  # ms after which an unanswered request is repeated
+GROWTH = 1.25  # times the last reported need, above which the need is reported early
+MAX_UNANSWERED = 3  # unanswered requests before another voter is tried
+JITTER = (0.85, 1.1)  # random factor of an interval
 
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """What a holder would use of one budget."""
+    """A holder's need of one budget."""
 
-    slots: int = 0  # floor and all
+    slots: int = 0  # including the floor
     weight: float = 1.0
 
 
@@ -44,52 +44,52 @@
 
 
 class LeaseHolder:
-    """Owner of what this process holds on lease."""
+    """The lease of this process."""
 
     def __init__(self, plan: Plan, address: str, boot: int, rng: Random, now: float) -> None:
         self.plan = plan
         self.address = address
-        self.boot = boot  # drawn at the start of the process
+        self.boot = boot  # random id of this start of the process
         self.rng = rng
         self.started_at = now
         self.seq = 0  # of the last request
-        self.sent: OrderedDict[int, float] = OrderedDict()  # request: when it went out
+        self.sent: OrderedDict[int, float] = OrderedDict()  # time by request number
         self.epoch: Epoch = NO_EPOCH
-        self.allocator = ""  # its address, as far as is known
+        self.allocator = ""  # address; empty if not known
         self.unanswered = 0
-        self.last_grant: GrantId = NO_GRANT  # that was taken, expired or not
+        self.last_grant: GrantId = NO_GRANT  # the last accepted one, expired or not
         self.slots: dict[str, int] = {}  # leased, by budget
-        self.until = now  # until when they are held
+        self.until = now  # end of the lease
         self.needs: Needs = {}
         self.reported_slots: dict[str, int] = {}  # needs, as the last request reported them
         self.next_request = now
-        self.next_voter = rng.randrange(len(plan.voters))  # asked while no allocator is known
+        self.next_voter = rng.randrange(len(plan.voters))  # receives requests while no allocator is known
         self.stopping = False
-        self.has_no_lease = True  # nothing was taken since the last expiry
+        self.has_no_lease = True  # no grant was accepted since the last expiry
         self.counts = {"wants": 0, "grants": 0, "grants that came too late": 0, "lapses": 0}
 
     def leased(self, now: float, name: str) -> int:
-        """Slots on lease."""
+        """Leased slots."""
         return self.slots.get(name, 0) if now < self.until and not self.stopping else 0
 
     def held(self, now: float, name: str) -> int:
-        """Slots, floor and all."""
+        """Slots that may be used: floor and lease."""
         return self.leased(now, name) + self.floor(now, name)
 
     def floor(self, now: float, name: str) -> int:
-        """The floor, once the slots have cooled down that the process may have used before its restart."""
+        """The floor; 0 during the cooldown after a start, as the process may have used it before."""
         budget = self.plan.by_name.get(name)
         if budget is None or now < self.started_at + self.plan.cooldown(budget):
             return 0
         return self.plan.floor_of(name, self.address)
 
     def request(self, now: float, returns_all: bool = False) -> tuple[str, LeaseRequest]:
-        """Whom to ask, and the next request."""
+        """Returns the next request and its recipient."""
         self.seq += 1
         self.sent[self.seq] = now
-        while len(self.sent) > KEPT_REQUESTS:
+        while len(self.sent) > MAX_PENDING_REQUESTS:
             self.sent.popitem(last=False)
-        to = self._whom_to_ask()
+        to = self._next_recipient()
         interval = min(self.plan.renew_interval, RETRY_INTERVAL)
         self.next_request = now + interval * self.rng.uniform(*JITTER)
         self.counts["wants"] += 1
@@ -100,7 +100,7 @@
         )
         return to, message
 
-    def _whom_to_ask(self) -> str:
+    def _next_recipient(self) -> str:
         if self.unanswered >= MAX_UNANSWERED:
             self.allocator = ""
             self.unanswered = 0
@@ -117,20 +117,20 @@
         return BudgetRequest(name, budget.total, budget.floor, leased, need.slots, need.weight)
 
     def set_needs(self, now: float, needs: Needs) -> None:
-        """What is needed now. A need that has grown much is reported soon."""
+        """Sets the current needs. A need that has grown much is reported early."""
         self.needs = needs
         reported = self.reported_slots
         grown = any(need.slots > GROWTH * reported.get(name, 0) + 1 for name, need in needs.items())
         if grown and self.sent:
             self._request_soon(now, RETRY_INTERVAL)
 
-    def _request_soon(self, now: float, after: float) -> None:
-        """The next request goes out as soon as so many ms have passed since the last one."""
-        last = next(reversed(self.sent.values()), now - after)
-        self.next_request = min(self.next_request, max(now, last + after))
+    def _request_soon(self, now: float, delay: float) -> None:
+        """Schedules the next request for `delay` ms after the last one, if that is earlier than planned."""
+        last = next(reversed(self.sent.values()), now - delay)
+        self.next_request = min(self.next_request, max(now, last + delay))
 
     def redirected(self, now: float, message: Redirect) -> None:
-        """Somebody tells who the allocator is. The allocator itself tells which epoch is its own."""
+        """Sets the allocator that a voter names, or the epoch that the allocator itself sends."""
         if message.epoch != NO_EPOCH:
             self.epoch = message.epoch
         elif not message.allocator or message.allocator == self.allocator:
@@ -140,7 +140,10 @@
         self._request_soon(now, MIN_INTERVAL)
 
     def granted(self, now: float, grant: LeaseGrant) -> bool:
-        """False: it is for an earlier start, came too late, or does not follow on what is held."""
+        """Accepts a grant.
+
+        Returns False if it is for an earlier start, too late, or not based on the last accepted grant.
+        """
         requested_at = self.sent.get(grant.seq)
         if grant.boot != self.boot or requested_at is None or self.stopping:
             return False
@@ -159,12 +162,12 @@
         self.has_no_lease = False
         self.counts["grants"] += 1
         self.next_request = now + grant.renew_after * self.rng.uniform(*JITTER)
-        if gave_up_some:  # it is available to others as soon as this process reports so
+        if gave_up_some:  # others can get the slots as soon as this process reports it
             self._request_soon(now, MIN_INTERVAL)
         return True
 
     def expired(self, now: float) -> bool:
-        """True once, when what was held has expired and the floor is left."""
+        """Returns True once after each expiry of the lease, when only the floor is left."""
         if self.has_no_lease or now < self.until:
             return False
         self.has_no_lease = True
--- a/softswitch/budgets/ledger.py
+++ b/softswitch/budgets/ledger.py
@@ -1,7 +1,8 @@
-"""The allocator's ledger: who may hold what, what cools down, and what may be granted. For one epoch.
+"""The allocator's ledger of one epoch: outstanding grants, slots that cool down, and available slots.
 
-A grant counts until its holder has reported that it holds another one instead, or can't hold it any more by
-any clock within the bound on drift; then its slots cool down for as long as one can have been used before.
+A grant counts until its holder reports that another one replaced it, or until it has expired by any clock
+within the bound on drift. Then its slots cool down for one window, because they may have been used just
+before.
 """
 
 from __future__ import annotations
@@ -16,17 +17,18 @@
 
 MAX_HOLDERS = 20_000
 DIVISION_INTERVAL = 200.0  # ms between two divisions
-# What moves cools down unused for a window. So a part that would change by no more than STEADY of it stays;
-# by more than that, up to LARGE, only if it would all through a window; by more than LARGE at once.
-STEADY, LARGE = 1 / 8, 1 / 2
-HEADROOM = 15 / 16  # of what nobody needs, given out; the rest waits for newcomers
+# Slots that move to another holder are unused during their cooldown of a window. So a change of up to
+# MIN_CHANGE of a holder's slots is not made. A change above it, up to LARGE_CHANGE, has to persist for a
+# window; a larger one is made at once.
+MIN_CHANGE, LARGE_CHANGE = 1 / 8, 1 / 2
+HEADROOM = 15 / 16  # of the slots that no one needs, granted in advance; the rest is for new holders
 
-HolderKey = tuple[str, int]  # address and boot: one start of one process
+HolderKey = tuple[str, int]  # address and boot id: one start of a process
 
 
 @dataclass(slots=True)
 class OutstandingGrant:
-    """A grant that its holder may hold."""
+    """A grant that its holder may still hold."""
 
     id: GrantId
     slots: dict[str, int]
@@ -35,62 +37,62 @@
 
 @dataclass(slots=True)
 class HolderRecord:
-    """What one start of one holder may hold, and what it needs."""
+    """Outstanding grants and needs of one holder, for one start of its process."""
 
     address: str
     last_request_at: float
     seq: int = 0
     grants: list[OutstandingGrant] = field(default_factory=list)
-    leased: dict[str, int] = field(default_factory=dict)  # by budget, the most of all grants
+    leased: dict[str, int] = field(default_factory=dict)  # by budget, the maximum over all grants
     needs: dict[str, int] = field(default_factory=dict)  # beyond its floor
     weights: dict[str, float] = field(default_factory=dict)
-    limits: dict[str, Limits] = field(default_factory=dict)  # by its own file
+    limits: dict[str, Limits] = field(default_factory=dict)  # of the holder's own file
     targets: dict[str, int] = field(default_factory=dict)
-    off_target_since: dict[str, float] = field(default_factory=dict)  # by more than STEADY
+    off_target_at: dict[str, float] = field(default_factory=dict)  # by more than MIN_CHANGE
     returned_all: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Cooling:
-    """Slots that may not be granted yet."""
+    """Slots that can't be granted yet."""
 
     until: float
     slots: int
 
 
 class Ledger:
-    """Owner of what is leased, and of what cools down."""
+    """Leased slots, slots that cool down, and the division of the rest."""
 
     def __init__(self, plan: Plan, now: float) -> None:
         self.plan = plan
-        self.began_at = now
+        self.started_at = now
         self.holders: dict[HolderKey, HolderRecord] = {}
         self.leased = {b.name: 0 for b in plan.budgets}
         self.cooling_slots = {b.name: 0 for b in plan.budgets}
         self.cooling: dict[str, deque[Cooling]] = {b.name: deque() for b in plan.budgets}
         self.limits = strictest_limits(plan, ())
         self.next_division = now
-        self.holders_refused = 0
+        self.holders_rejected = 0
 
     def earlier_epoch_over(self, now: float, name: str) -> bool:
-        """Whether all that the allocator before granted has expired, and was last used long enough ago."""
+        """Whether all grants of the previous allocator have expired and cooled down."""
         budget = self.plan.by_name[name]
-        return now >= self.began_at + self.plan.lease_bound + self.plan.cooldown(budget)
+        return now >= self.started_at + self.plan.lease_bound + self.plan.cooldown(budget)
 
     def leasable(self, name: str) -> int:
-        """Slots that are not floors."""
+        """Slots of the total that are not floors."""
         limits = self.limits[name]
         return max(0, limits.total - limits.floor * len(set(self.plan.members)))
 
     def available(self, now: float, name: str) -> int:
-        """Slots that may be granted now. May be below 0, after a total was lowered."""
+        """Slots that may be granted now; below 0 after a total was lowered."""
         cooling = self.cooling[name]
         while cooling and now >= cooling[0].until:
             self.cooling_slots[name] -= cooling.popleft().slots
         return self.leasable(name) - self.leased[name] - self.cooling_slots[name]
 
     def _update_leased(self, now: float, holder: HolderRecord) -> None:
-        """After some grants of a holder were dropped or one came."""
+        """Recomputes the leased slots of a holder after a change of its grants."""
         for budget in self.plan.budgets:
             name = budget.name
             leased = max((grant.slots.get(name, 0) for grant in holder.grants), default=0)
@@ -103,9 +105,7 @@
                 holder.leased[name] = leased
 
     def sweep(self, now: float) -> None:
-        """What has expired goes; who was not heard of for a whole lease and has nothing leased is
-        forgotten.
-        """
+        """Removes expired grants, and holders without grants that sent no request for a complete lease."""
         for key, holder in list(self.holders.items()):
             if any(now >= grant.until for grant in holder.grants):
                 holder.grants = [grant for grant in holder.grants if now < grant.until]
@@ -114,13 +114,13 @@
                 del self.holders[key]
 
     def request_received(self, now: float, request: LeaseRequest, epoch_number: int) -> HolderRecord | None:
-        """Takes in what a holder reports. None: no room for one more."""
+        """Updates the record of a holder from its request. None if there are too many holders."""
         holder = self._holder_of(now, request)
         if holder is None:
             return None
         before = len(holder.grants)
         if request.basis[0] == epoch_number:
-            # Grants before the one that it holds name another basis than it: it can't take them any more.
+            # Grants older than the accepted one have another basis, so the holder can't accept them any more.
             holder.grants = [grant for grant in holder.grants if grant.id[1] >= request.basis[1]]
         holder.grants = [grant for grant in holder.grants if now < grant.until]
         if request.returns_all:
@@ -129,7 +129,7 @@
         if len(holder.grants) != before:
             self._update_leased(now, holder)
         if request.seq > holder.seq:
-            self._take_needs(now, request, holder)
+            self._update_needs(now, request, holder)
         return holder
 
     def _holder_of(self, now: float, request: LeaseRequest) -> HolderRecord | None:
@@ -138,31 +138,31 @@
         if holder is not None:
             return holder
         if len(self.holders) >= MAX_HOLDERS:
-            self.holders_refused += 1
+            self.holders_rejected += 1
             return None
         holder = self.holders[key] = HolderRecord(request.address, now)
         self.next_division = min(self.next_division, now)
         return holder
 
-    def _take_needs(self, now: float, request: LeaseRequest, holder: HolderRecord) -> None:
+    def _update_needs(self, now: float, request: LeaseRequest, holder: HolderRecord) -> None:
         holder.seq = request.seq
         holder.last_request_at = now
-        for asked in request.budgets:
-            if asked.name in self.plan.by_name:
-                floor = self.plan.floor_of(asked.name, request.address)
-                holder.needs[asked.name] = max(0, asked.need - floor)
-                holder.weights[asked.name] = asked.weight
-                holder.limits[asked.name] = Limits(asked.total, asked.floor)
+        for entry in request.budgets:
+            if entry.name in self.plan.by_name:
+                floor = self.plan.floor_of(entry.name, request.address)
+                holder.needs[entry.name] = max(0, entry.need - floor)
+                holder.weights[entry.name] = entry.weight
+                holder.limits[entry.name] = Limits(entry.total, entry.floor)
 
     def add_grant(self, now: float, holder: HolderRecord, id_: GrantId, slots: dict[str, int]) -> None:
-        """A grant goes out: it counts from now on."""
+        """Records a new grant, which counts from now on."""
         holder.grants.append(OutstandingGrant(id_, slots, now + self.plan.lease_bound))
         self._update_leased(now, holder)
 
     # division
 
     def divide(self, now: float) -> None:
-        """Sets the targets of all that are present anew."""
+        """Recomputes the targets of all present holders."""
         self.next_division = now + DIVISION_INTERVAL
         self.sweep(now)
         latest = self._latest_starts()
@@ -181,7 +181,7 @@
                 holder.targets[budget.name] = target
 
     def _latest_starts(self) -> dict[str, HolderRecord]:
-        """Of two starts of one member the one heard of last counts."""
+        """The holder records by address; of two starts of one member the one with the latest request."""
         latest: dict[str, HolderRecord] = {}
         for holder in self.holders.values():
             known = latest.get(holder.address)
@@ -193,33 +193,34 @@
         total = self.leasable(budget.name)
         needs = [holder.needs.get(budget.name, 0) for holder in present]
         weights = [holder.weights.get(budget.name, 1.0) for holder in present]
-        parts = divide(total, needs, weights)
+        allocations = divide(total, needs, weights)
         if not budget.is_share and sum(needs) <= total and present:
-            parts = _with_headroom(parts, needs, total - sum(parts))
-        steady = [
-            self._steady(now, budget, holder, part) for holder, part in zip(present, parts, strict=True)
+            allocations = _with_headroom(allocations, needs, total - sum(allocations))
+        damped = [
+            self._damp_change(now, budget, holder, allocation)
+            for holder, allocation in zip(present, allocations, strict=True)
         ]
-        if sum(steady) > total:
-            return parts
-        # What stays as it is may leave something over: it goes to those who still need more.
-        lacking = [max(0, need - part) for part, need in zip(steady, needs, strict=True)]
-        more = divide(total - sum(steady), lacking, weights)
-        return [part + extra for part, extra in zip(steady, more, strict=True)]
-
-    def _steady(self, now: float, budget: Budget, holder: HolderRecord, part: int) -> int:
-        """The part, or what is leased already where the difference is not worth the move, or not yet."""
+        if sum(damped) > total:
+            return allocations
+        # Changes that are not made may leave slots over; holders that need more get them.
+        lacking = [max(0, need - allocation) for allocation, need in zip(damped, needs, strict=True)]
+        more = divide(total - sum(damped), lacking, weights)
+        return [allocation + extra for allocation, extra in zip(damped, more, strict=True)]
+
+    def _damp_change(self, now: float, budget: Budget, holder: HolderRecord, allocation: int) -> int:
+        """Returns the allocation, or the leased slots if the change is too small or has not persisted yet."""
         leased = holder.leased.get(budget.name, 0)
-        difference = abs(part - leased)
-        if not leased or difference <= max(1, leased * STEADY):
-            holder.off_target_since.pop(budget.name, None)
-            return leased or part
-        since = holder.off_target_since.setdefault(budget.name, now)
-        moves = difference > max(2, leased * LARGE) or now - since >= budget.window
-        return part if moves else leased
+        difference = abs(allocation - leased)
+        if not leased or difference <= max(1, leased * MIN_CHANGE):
+            holder.off_target_at.pop(budget.name, None)
+            return leased or allocation
+        off_target_at = holder.off_target_at.setdefault(budget.name, now)
+        moves = difference > max(2, leased * LARGE_CHANGE) or now - off_target_at >= budget.window
+        return allocation if moves else leased
 
 
-def _with_headroom(parts: list[int], needs: list[int], spare: int) -> list[int]:
-    """Headroom by the root of the need: so much does what comes by itself vary."""
+def _with_headroom(allocations: list[int], needs: list[int], spare: int) -> list[int]:
+    """Adds headroom in proportion to the square root of the need, as random arrivals vary by that much."""
     roots = [sqrt(need + 1) for need in needs]
     each = spare * HEADROOM / sum(roots)
-    return [part + int(each * root) for part, root in zip(parts, roots, strict=True)]
+    return [allocation + int(each * root) for allocation, root in zip(allocations, roots, strict=True)]
--- a/softswitch/budgets/messages.py
+++ b/softswitch/budgets/messages.py
@@ -1,4 +1,4 @@
-"""What members send each other about budgets, as typed messages inside the fleet's datagrams (`net/peers`).
+"""Messages between members about budgets, sent inside the fleet's datagrams (`net/peers`).
 
 On the wire they are arrays with a numbered tag: names of types and fields may change, their order may not.
 """
@@ -11,44 +11,44 @@
 
 from softswitch.fleet.messages import Address, Digest, UnsignedInt
 
-MAX_BUDGETS = 16  # so many fit one datagram, whatever their names and figures
+MAX_BUDGETS = 16  # as many as fit into one datagram, with the longest names and largest numbers
 MAX_DURATION = 600_000  # ms
 
 Name = Annotated[str, Meta(min_length=1, max_length=32)]
 Slots = Annotated[int, Meta(ge=0, le=10_000_000)]
 Duration = Annotated[float, Meta(gt=0, le=MAX_DURATION)]  # ms
-# an allocator's time in office: term, and a number drawn for it; none comes twice
+# one leadership of an allocator: term, and a random number that makes it unique
 Epoch = tuple[UnsignedInt, Digest]
-GrantId = tuple[Digest, UnsignedInt]  # the number of the allocator's epoch, and the grant's place in it
+GrantId = tuple[Digest, UnsignedInt]  # number of the epoch, and number of the grant within it
 NO_EPOCH: Epoch = (0, 0)
 NO_GRANT: GrantId = (0, 0)
 
 
 class BudgetRequest(Struct, frozen=True, array_like=True):
-    """What a holder says of one budget. In slots."""
+    """A holder's state and need of one budget, in slots."""
 
     name: Name
-    total: Slots  # by its own file
+    total: Slots  # by the holder's own file
     floor: Slots
-    leased: Slots  # not expired as it asks
-    need: Slots  # of these it would use, floor and all
-    weight: Annotated[float, Meta(ge=0, le=1e9)] = 1.0  # priority weight of what it would spend on
+    leased: Slots  # at the time of the request
+    need: Slots  # including the floor
+    weight: Annotated[float, Meta(ge=0, le=1e9)] = 1.0  # mean priority weight of its demand
 
 
 class LeaseRequest(Struct, frozen=True, array_like=True, tag=1):
-    """A holder asks for its lease anew. What is granted runs from when this was sent."""
+    """Requests a lease or its renewal. The lease runs from the time at which this was sent."""
 
     address: Address
     boot: Digest
     seq: UnsignedInt
-    epoch: Epoch  # the one heard of last; an answer that echoes it was sent after the epoch began
-    basis: GrantId  # the grant that is held, or was last
+    epoch: Epoch  # the last known one; a request that echoes it was sent after the epoch began
+    basis: GrantId  # the last accepted grant
     budgets: Annotated[tuple[BudgetRequest, ...], Meta(max_length=MAX_BUDGETS)]
-    returns_all: bool = False  # it spends nothing of its lease any more
+    returns_all: bool = False  # the holder no longer uses its lease
 
 
 class LeaseGrant(Struct, frozen=True, array_like=True, tag=2):
-    """The allocator's answer. It holds only where `basis` is still what the holder has."""
+    """Grants a lease. It is valid only if `basis` is still the holder's last accepted grant."""
 
     boot: Digest
     seq: UnsignedInt
@@ -57,14 +57,14 @@
     id: GrantId
     basis: GrantId
     slots: Annotated[tuple[tuple[Name, Slots], ...], Meta(max_length=MAX_BUDGETS)]
-    duration: Duration  # from when the request was sent
-    renew_after: Duration  # until the next request is of use
+    duration: Duration  # from the time at which the request was sent
+    renew_after: Duration  # until the holder should request again
 
 
 class Redirect(Struct, frozen=True, array_like=True, tag=3):
-    """The sender is not the allocator. `allocator`: who is, as far as it has promised; empty if nobody.
+    """Redirects a holder. `allocator`: the one to which the sender has promised itself; may be empty.
 
-    An allocator answers with it too, where its holder has to hear of the epoch first.
+    An allocator also sends it, with its own epoch, if the holder has to receive the epoch first.
     """
 
     epoch: Epoch
@@ -72,16 +72,16 @@
 
 
 class PromiseRequest(Struct, frozen=True, array_like=True, tag=4):
-    """A candidate asks a voter to promise itself to this epoch."""
+    """Requests a voter's promise for this epoch of the candidate."""
 
     address: Address
     epoch: Epoch
     round: UnsignedInt
-    voters: Digest  # of what voters have to agree on
+    voters: Digest  # digest of the settings on which voters have to agree
 
 
 class Promise(Struct, frozen=True, array_like=True, tag=5):
-    """A voter has promised itself."""
+    """Makes a promise."""
 
     voter: Address
     epoch: Epoch
@@ -89,17 +89,17 @@
 
 
 class PromiseDenied(Struct, frozen=True, array_like=True, tag=6):
-    """A voter has not promised itself."""
+    """Denies a promise."""
 
     voter: Address
-    epoch: Epoch  # that was asked for
+    epoch: Epoch  # of the request
     round: UnsignedInt
-    term: UnsignedInt  # the highest one heard of there
+    term: UnsignedInt  # the highest known to the voter
     why: Annotated[str, Meta(max_length=160)]
 
 
 class EpochWithdrawn(Struct, frozen=True, array_like=True, tag=7):
-    """The candidate counts on no promise of this epoch any more."""
+    """Releases all promises of this epoch: the candidate no longer uses them."""
 
     epoch: Epoch
 
--- a/softswitch/budgets/sliding_window.py
+++ b/softswitch/budgets/sliding_window.py
@@ -1,8 +1,8 @@
-"""How often something was done in the last so many ms, in memory that does not grow with how often.
+"""A sliding-window counter whose memory does not grow with the number of uses.
 
-Exact counting keeps a time for each use. Here uses are counted in CELLS cells, and a cell is let go only when
-its newest possible use is older than the window: the count is never below the true one, and what that costs
-is at most 1/CELLS of the throughput. `benchmarks/budgets.py window` holds it against the exact one.
+An exact counter stores the time of each use. Here uses are counted in CELLS cells, and a cell expires only
+when its newest possible use is older than the window. So the count is never below the true one, which costs
+at most 1/CELLS of the throughput. `benchmarks/budgets.py window` compares it with an exact counter.
 """
 
 from __future__ import annotations
@@ -11,21 +11,21 @@
 
 
 class SlidingWindow:
-    """Uses in the last `length` ms."""
+    """Counts uses in the last `length` ms."""
 
     __slots__ = ("_cell_length", "_cells", "_count", "_newest", "length")
 
     def __init__(self, length: float) -> None:
         self.length = length
         self._cell_length = length / CELLS
-        # One cell more than the window holds, so that one which began inside it is still counted completely.
+        # One more than the window covers, so that the partly expired oldest cell still counts completely.
         self._cells = [0] * (CELLS + 1)
         self._newest = -1  # number of the newest cell, since time 0
         self._count = 0
 
     def _advance(self, now: float) -> None:
         cell = int(now // self._cell_length)
-        if cell <= self._newest:  # a clock that was read before another one was
+        if cell <= self._newest:  # the time was read before that of an earlier call
             return
         for passed in range(max(self._newest + 1, cell - CELLS), cell + 1):
             place = passed % (CELLS + 1)
@@ -34,7 +34,7 @@
         self._newest = cell
 
     def used(self, now: float) -> int:
-        """At least as many as were used in the last `length` ms."""
+        """The count of uses in the last `length` ms, never too low."""
         self._advance(now)
         return self._count
 
@@ -45,7 +45,7 @@
         self._count += 1
 
     def opens_in(self, now: float, slots: int) -> float:
-        """Ms until fewer than so many are counted, 0 if that is so now; `length` where there are no slots."""
+        """Ms until fewer than `slots` uses are counted; 0 if already so; `length` if `slots` is 0."""
         self._advance(now)
         if slots <= 0:
             return self.length
--- a/softswitch/budgets/voter.py
+++ b/softswitch/budgets/voter.py
@@ -1,8 +1,8 @@
-"""A voter: promises itself to one allocator at a time, for a while.
+"""A voter: promises itself to one allocator at a time, for a limited time.
 
-Nothing of it is on disk. A voter that started anew may have promised itself before its restart; so it
-promises nothing until such a promise is over by its own clock. What is not kept can't be corrupt, full or
-forgotten.
+Promises are not stored on disk, so there is no file that can be corrupt, lost or not writable. A restarted
+voter may have promised itself before, so it makes no promise until any such promise has expired by its own
+clock.
 """
 
 from __future__ import annotations
@@ -19,29 +19,29 @@
 
 
 class Voter:
-    """Owner of one promise."""
+    """Makes promises and keeps the current one."""
 
     def __init__(self, plan: Plan, address: str, voters_digest: int, now: float) -> None:
         self.plan = plan
         self.address = address
-        self.voters_digest = voters_digest  # of what voters agree on
-        self.term = 0  # the highest heard of
-        self.epoch: Epoch = NO_EPOCH  # that the promise was given to
-        self.allocator = ""  # the address of its allocator
-        self.until = now + plan.promise  # until when it may not promise itself to another
+        self.voters_digest = voters_digest  # of the settings on which voters have to agree
+        self.term = 0  # the highest known
+        self.epoch: Epoch = NO_EPOCH  # of the promise
+        self.allocator = ""  # address to which the promise was made
+        self.until = now + plan.promise  # no promise to another allocator before this time
         self.withdrawn: Epoch = NO_EPOCH
 
     def promised_to(self, now: float) -> str:
-        """The address that the promise was given to, as far as it runs; empty if to nobody."""
+        """The address to which the current promise was made; empty if there is none."""
         return self.allocator if now < self.until else ""
 
     def promise_requested(self, now: float, request: PromiseRequest) -> Promise | PromiseDenied:
-        """The answer to a candidate."""
-        why = self._objection(now, request)
-        if why:
-            return PromiseDenied(self.address, request.epoch, request.round, self.term, why)
-        # Terms tell epochs apart for readers; that there is one at a time rests on the promise alone. A voter
-        # that was cut off and tried for itself has seen higher ones: nothing against an epoch.
+        """Returns the answer to a candidate."""
+        objection = self._objection(now, request)
+        if objection:
+            return PromiseDenied(self.address, request.epoch, request.round, self.term, objection)
+        # Terms only label epochs for operators; uniqueness depends on the promises alone. So a term below the
+        # highest known one is no objection: an isolated voter raises terms by its own candidacies.
         self.term = max(self.term, request.epoch[0])
         self.epoch = request.epoch
         self.allocator = request.address
@@ -49,7 +49,7 @@
         return Promise(self.address, request.epoch, request.round)
 
     def _objection(self, now: float, request: PromiseRequest) -> str:
-        """Why it does not promise itself; empty if it does."""
+        """Why a promise is denied; empty if it is made."""
         if request.voters != self.voters_digest:
             return "another list of voters, or other times, are in use here"
         if now < self.until and request.epoch != self.epoch:
@@ -60,7 +60,7 @@
         return ""
 
     def epoch_withdrawn(self, message: EpochWithdrawn) -> None:
-        """The candidate counts on no promise of this epoch: it may be given to another at once."""
+        """Releases the promise, which the candidate no longer uses: another may be made at once."""
         if message.epoch == self.epoch and message.epoch != NO_EPOCH:
             self.withdrawn = message.epoch
             self.epoch = NO_EPOCH
--- a/softswitch/fleet/__init__.py
+++ b/softswitch/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Which softswitches there are: members, failure detection, spreading, agreement. Pure: no I/O, no clock."""
+"""Membership of the fleet: failure detection, dissemination, anti-entropy. Pure: no I/O, no clock."""
--- a/softswitch/fleet/member.py
+++ b/softswitch/fleet/member.py
@@ -468,11 +468,11 @@
             return f"name and address of {self.me.key}, which is this process"
         return ""
 
-    def _reject(self, reason: str, who: str) -> Rejected:
+    def _reject(self, reason: str, sender: str) -> Rejected:
         if len(self.rejections) < 64 or reason in self.rejections:
             self.rejections[reason] = self.rejections.get(reason, 0) + 1
             if self.rejections[reason] == 1:
-                self.actions.append(Notice("refused", f"{who}: {reason}"))
+                self.actions.append(Notice("refused", f"{sender}: {reason}"))
         return Rejected(reason)
 
     def datagram_received(self, now: float, message: Message) -> list[Action]:
--- a/softswitch/fleet/size.py
+++ b/softswitch/fleet/size.py
@@ -1,8 +1,9 @@
 """The fleet size by which the decision module divides the capacity of warming engines.
 
 The size rises at once and falls with a delay: a member counts from the moment it is known until its last
-attempts have ended, `linger` ms after this process learned that it left or is gone. While this process is cut
-off, the size never falls. Before this process has joined, the size is at least the configured one.
+attempts have ended, `linger` ms after it first appears as left or gone in this process's view. While this
+process is cut off, the size never falls. Before this process has joined, the size is at least the configured
+one.
 """
 
 from __future__ import annotations
--- a/tests/test_budget_processes.py
+++ b/tests/test_budget_processes.py
@@ -123,7 +123,7 @@
         star = tmp_path / "o1.star"
         star.write_text(star.read_text().replace('"whole": 40', '"whole": 20'))
         made[1].stage.program.send_signal(signal.SIGHUP)
-        until(lambda: "whole lowered: quotes: 20 slots" in logs() or held()["whole"] == 20, logs)
+        until(lambda: "total lowered: quotes: 20 slots" in logs() or held()["whole"] == 20, logs)
         until(lambda: 4 < held()["sum"] <= 20, logs)
         # A file that can't be kept changes nothing, and says why.
         star.write_text(star.read_text().replace('"floor": 2', '"floor": 12'))
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -246,7 +246,7 @@
     world.wholes["quotes"] = 30
     world.run(25_000)
     assert 20 < world.held("quotes") <= 30
-    assert any("whole lowered" in said for _, said in world.log)
+    assert any("total lowered" in said for _, said in world.log)
 
 
 def test_an_allocator_that_leaves_is_followed_by_another_and_nobody_falls_to_its_floor():
