--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -11,13 +11,23 @@
 import msgspec
 import pytest
 
-from softswitch.fleet.member import Changed, Exchange, Member, Periods, Send, Told
-from softswitch.fleet.member_table import KEPT_ENDED, MOST, Table
-from softswitch.fleet.messages import Ack, Compare, Head, Message, News, Ping, Record, Refused, State
-from softswitch.fleet.size import Size
+from softswitch.fleet.member import Exchange, Member, MemberChanged, Notice, Periods, Send
+from softswitch.fleet.member_table import MAX_MEMBERS, TOMBSTONE_LIFETIME, MemberTable
+from softswitch.fleet.messages import (
+    Ack,
+    CompareDigests,
+    Header,
+    Message,
+    Ping,
+    Record,
+    Rejected,
+    State,
+    Updates,
+)
+from softswitch.fleet.size import FleetSize
 from softswitch.standin.faults.fleet_simulation import World, play
 from softswitch.standin.faults.schedule import BadSchedule, Fault, drawn, of_json, selected
-from softswitch.storage.snapshot import Disk, Snapshot, SnapshotError
+from softswitch.storage.snapshot import OsFileOperations, Snapshot, SnapshotError
 
 
 def record(name, state=State.ALIVE, incarnation=1, boot=7, **more):
@@ -27,13 +37,13 @@
 
 def member(name="n0", seeds=(), now=0.0, **more):
     made = Member("f", record(name, State.JOINING, boot=1, **more), seeds, Periods(), 3, now)
-    made._joined(now)
+    made._complete_join(now)
     return made
 
 
 def told(m, now, *records, sender="n1"):
-    head = Head("f", 1, record(sender), 0)
-    return m.heard(now, News(head, tuple(records)))
+    head = Header("f", 1, record(sender), 0)
+    return m.datagram_received(now, Updates(head, tuple(records)))
 
 
 # the table
@@ -48,31 +58,31 @@
     seen = set()
     for _ in range(30):
         rng.shuffle(said)
-        table = Table()
+        table = MemberTable()
         for r in said + rng.sample(said, 20):
             table.put(0.0, r)
         seen.add((table.digest, tuple(table.buckets), frozenset(table.records.items())))
-        assert sum(table.count.values()) == len(table.records) <= MOST
+        assert sum(table.count.values()) == len(table.records) <= MAX_MEMBERS
     assert len(seen) == 1
 
 
 def test_an_end_is_final_for_its_incarnation_and_a_higher_one_is_a_new_life():
-    table = Table()
+    table = MemberTable()
     for state in (State.ALIVE, State.GONE, State.ALIVE, State.SUSPECT):
         table.put(0.0, record("n1", state, 3))
     assert table.records["n1@10.0.0.1:7001"].state is State.GONE
     table.put(5.0, record("n1", State.ALIVE, 4))
     assert table.records["n1@10.0.0.1:7001"].state is State.ALIVE
-    assert table.since["n1@10.0.0.1:7001"] == 5.0
+    assert table.changed_at["n1@10.0.0.1:7001"] == 5.0
 
 
 def test_news_is_passed_on_a_bounded_number_of_times():
-    table = Table()
+    table = MemberTable()
     for n in range(8):
         table.put(0.0, record(f"n{n}"))
-    passed = sum(len(table.news(3)) for _ in range(100))
+    passed = sum(len(table.next_updates(3)) for _ in range(100))
     assert 0 < passed <= 8 * 10
-    assert not table.fresh
+    assert not table.pending
 
 
 def test_a_tombstone_lives_its_time_and_no_longer_whoever_hears_of_it():
@@ -80,28 +90,30 @@
     a, b, late = member("n0"), member("n1"), member("n3")
 
     def exchange(now, one, other):
-        differ, _ = other.asked(now, Compare(one._head(), tuple(one.table.buckets)))
-        rest, _ = one.asked(now, differ)
-        other.asked(now, rest)
+        differ, _ = other.exchange_message_received(
+            now, CompareDigests(one._header(), tuple(one.table.buckets))
+        )
+        rest, _ = one.exchange_message_received(now, differ)
+        other.exchange_message_received(now, rest)
 
     a.table.put(0.0, dead)
     b.table.put(10_000.0, dead)  # heard of it a little later
-    half = KEPT_ENDED / 2
+    half = TOMBSTONE_LIFETIME / 2
     exchange(half, late, a)
     # as old as it is, and no news
-    assert late.table.since[dead.key] == 0.0
-    assert dead.key not in late.table.fresh
-    now = KEPT_ENDED + 5_000.0
-    a.table.forget(now)
+    assert late.table.changed_at[dead.key] == 0.0
+    assert dead.key not in late.table.pending
+    now = TOMBSTONE_LIFETIME + 5_000.0
+    a.table.remove_expired(now)
     assert dead.key not in a.table.records
     assert dead.key in b.table.records
     exchange(now, a, b)
     exchange(now, b, a)
     assert dead.key not in a.table.records  # it does not come back
     for m in (b, late):
-        m.table.forget(KEPT_ENDED + 11_000.0)
+        m.table.remove_expired(TOMBSTONE_LIFETIME + 11_000.0)
         assert dead.key not in m.table.records
-        assert len(m.table.since) == len(m.table.records)
+        assert len(m.table.changed_at) == len(m.table.records)
     assert sum(a.table.count.values()) == len(a.table.records)
 
 
@@ -121,10 +133,13 @@
     codec = msgspec.msgpack.Decoder(Message)
     for good in ("10.0.0.1:65535", "0.0.0.0:1", "255.249.199.99:7946"):
         sender = msgspec.structs.replace(record("n1"), address=good)
-        assert codec.decode(msgspec.msgpack.encode(News(Head("f", 1, sender, 0), ()))).head.me.address == good
+        assert (
+            codec.decode(msgspec.msgpack.encode(Updates(Header("f", 1, sender, 0), ()))).header.sender.address
+            == good
+        )
     sender = msgspec.structs.replace(record("n1"), address=address)
     with pytest.raises(msgspec.ValidationError):
-        codec.decode(msgspec.msgpack.encode(News(Head("f", 1, sender, 0), ())))
+        codec.decode(msgspec.msgpack.encode(Updates(Header("f", 1, sender, 0), ())))
 
 
 # one member
@@ -136,10 +151,10 @@
     acts = told(m, 10.0, msgspec.structs.replace(m.me, state=State.SUSPECT))
     assert m.me.incarnation == 2
     assert m.me.state is State.ALIVE
-    sent = [a for a in acts if isinstance(a, Send) and isinstance(a.message, News)]
+    sent = [a for a in acts if isinstance(a, Send) and isinstance(a.message, Updates)]
     assert sent
-    assert all(a.message.news == (m.me,) for a in sent)
-    assert any(isinstance(a, Told) and a.what == "accused" for a in acts)
+    assert all(a.message.updates == (m.me,) for a in sent)
+    assert any(isinstance(a, Notice) and a.event == "accused" for a in acts)
 
 
 def test_a_restart_that_forgot_overrules_what_was_said_of_the_life_before():
@@ -156,27 +171,27 @@
     m = member()
     other = msgspec.structs.replace(record("n0", boot=5), address="10.0.0.9:7000")
     acts = told(m, 1.0, other)
-    assert [a.why for a in acts if isinstance(a, Told) and a.what == "name taken"] == [
+    assert [a.details for a in acts if isinstance(a, Notice) and a.event == "name taken"] == [
         "n0 is at 10.0.0.9:7000 too"
     ]
     assert m.me.incarnation == 1
     assert m.table.records[other.key].state is State.ALIVE
-    assert not [a for a in told(m, 2.0, other) if isinstance(a, Told)]  # once
+    assert not [a for a in told(m, 2.0, other) if isinstance(a, Notice)]  # once
 
 
 @pytest.mark.parametrize(
     ("head", "why"),
     [
-        (Head("g", 1, record("n1"), 0), "fleet 'g', this one is 'f'"),
-        (Head("f", 9, record("n1"), 0), "format 9 of messages, 1 is spoken here"),
+        (Header("g", 1, record("n1"), 0), "fleet 'g', this one is 'f'"),
+        (Header("f", 9, record("n1"), 0), "format 9 of messages, 1 is spoken here"),
     ],
 )
 def test_another_fleet_or_format_is_refused_with_a_reason(head, why):
     m = member()
-    acts = m.heard(1.0, Ping(head, 1, m.me.key))
-    assert [a.message for a in acts if isinstance(a, Send)] == [Refused(why)]
+    acts = m.datagram_received(1.0, Ping(head, 1, m.me.key))
+    assert [a.message for a in acts if isinstance(a, Send)] == [Rejected(why)]
     assert len(m.table.records) == 1
-    assert m.asked(1.0, Compare(head, (0,) * 64))[0] == Refused(why)
+    assert m.exchange_message_received(1.0, CompareDigests(head, (0,) * 64))[0] == Rejected(why)
 
 
 def test_one_that_stood_still_gives_every_wait_its_time_again_and_accuses_nobody():
@@ -187,8 +202,8 @@
     acts = m.tick(30_000.0)
     assert m.counts["standstills"] == 1
     assert m.counts["accused"] == 0
-    assert m.health == 1
-    assert not [a for a in acts if isinstance(a, Changed)]
+    assert m.health_score == 1
+    assert not [a for a in acts if isinstance(a, MemberChanged)]
 
 
 def test_a_minority_calls_nobody_gone_and_says_that_it_is_cut_off():
@@ -197,13 +212,13 @@
     said = []
     while now < 60_000.0:
         now = max(now + 1.0, m.next_at())
-        m.heard_at = now  # something is heard, from nobody of use
+        m.last_received_at = now  # something is heard, from nobody of use
         said += m.tick(now)
     assert m.cut_off
-    assert "cut off" in [a.what for a in said if isinstance(a, Told)]
-    states = {r.state for r in m.known() if r.name != "n0"}
+    assert "cut off" in [a.event for a in said if isinstance(a, Notice)]
+    states = {r.state for r in m.known_records() if r.name != "n0"}
     assert states == {State.SUSPECT}
-    assert m.sites()[""]["gone"] == 0
+    assert m.count_by_site()[""]["gone"] == 0
 
 
 def test_one_that_hears_nobody_accuses_nobody():
@@ -220,13 +235,13 @@
 def test_garbage_that_can_be_decoded_changes_nothing_and_each_message_has_a_bound():
     codec = msgspec.msgpack.Decoder(Message)
     big = msgspec.msgpack.encode(
-        News(Head("f", 1, record("n1"), 0), tuple(record(f"n{n}") for n in range(65)))
+        Updates(Header("f", 1, record("n1"), 0), tuple(record(f"n{n}") for n in range(65)))
     )
     for data in (big, b"", b"\x93", msgspec.msgpack.encode([99, 1]), os.urandom(200)):
         with pytest.raises((msgspec.DecodeError, msgspec.ValidationError)):
             codec.decode(data)
     m = member()
-    m.heard(1.0, Ack(Head("f", 1, record("n1"), 0), 12345))  # of a probe that never was
+    m.datagram_received(1.0, Ack(Header("f", 1, record("n1"), 0), 12345))  # of a probe that never was
     assert m.probe is None
 
 
@@ -244,16 +259,16 @@
 
 
 def test_the_number_rises_at_once_and_falls_only_when_the_last_attempts_have_ended():
-    size, all_ = Size(4, linger=10_000.0), [record(f"n{n}") for n in range(6)]
-    assert size.of(0.0, all_[:1], joined=False, cut_off=False) == 4
-    assert size.of(0.0, all_[:2], joined=True, cut_off=False) == 2
-    assert size.of(1.0, all_, joined=True, cut_off=False) == 6
+    size, all_ = FleetSize(4, linger=10_000.0), [record(f"n{n}") for n in range(6)]
+    assert size.update(0.0, all_[:1], joined=False, cut_off=False) == 4
+    assert size.update(0.0, all_[:2], joined=True, cut_off=False) == 2
+    assert size.update(1.0, all_, joined=True, cut_off=False) == 6
     fewer = [*all_[:4], record("n4", State.GONE), record("n5", State.LEFT)]
-    assert size.of(2.0, fewer, joined=True, cut_off=False) == 6
-    assert size.of(10_001.0, fewer, joined=True, cut_off=False) == 6
-    assert size.of(10_003.0, fewer, joined=True, cut_off=True) == 6  # who is cut off can't know
-    assert size.of(10_003.0, fewer, joined=True, cut_off=False) == 4
-    assert size.of(10_004.0, all_, joined=True, cut_off=False) == 6
+    assert size.update(2.0, fewer, joined=True, cut_off=False) == 6
+    assert size.update(10_001.0, fewer, joined=True, cut_off=False) == 6
+    assert size.update(10_003.0, fewer, joined=True, cut_off=True) == 6  # who is cut off can't know
+    assert size.update(10_003.0, fewer, joined=True, cut_off=False) == 4
+    assert size.update(10_004.0, all_, joined=True, cut_off=False) == 6
 
 
 # many members on virtual time
@@ -361,9 +376,9 @@
         )
 
     with monkeypatch.context() as patch:
-        patch.setattr(Member, "_of_me", lambda self, now, record: None)
+        patch.setattr(Member, "_refute", lambda self, now, record: None)
         assert wrong()
-    old = Table.put
+    old = MemberTable.put
 
     def revives(self, now, record, age=0.0):
         held = self.records.get(record.key)
@@ -372,7 +387,7 @@
         return old(self, now, record, age)
 
     with monkeypatch.context() as patch:
-        patch.setattr(Table, "put", revives)
+        patch.setattr(MemberTable, "put", revives)
         assert wrong()
     assert not wrong()
 
@@ -412,7 +427,7 @@
 # the snapshot
 
 
-class Failing(Disk):
+class Failing(OsFileOperations):
     """A disk that fails at a step, or writes a part only."""
 
     def __init__(self, step):
@@ -458,7 +473,7 @@
                 Snapshot(path, 1, 1).read()
             assert path.read_bytes() == data
     path.write_bytes(whole)
-    with pytest.raises(SnapshotError, match="of version 1, 2 is read here"):
+    with pytest.raises(SnapshotError, match="version 1 is not supported, 2 is expected"):
         Snapshot(path, 1, 2).read()
     assert Snapshot(path, 1, 2).read(versions=(1,)) == (1, b"what was known")
 
