--- a/softswitch/core/policy_executor.py
+++ b/softswitch/core/policy_executor.py
@@ -220,7 +220,7 @@
     def _fail_without_module(self, call: Call, reason: FailureReason, retry_after: float = 0.0) -> None:
         """As `_fail`, for a call that the module may still have."""
         self._fail(call.id, reason, retry_after)
-        self._feed(i.CallerLeft(call.id))
+        self._feed(i.CallerAbandoned(call.id))
 
     def _answer_failed(self, call: Call, reason: FailureReason, retry_after: float) -> None:
         """The one final answer of a call that is not established."""
--- a/softswitch/core/switch.py
+++ b/softswitch/core/switch.py
@@ -125,7 +125,7 @@
         self.counters[Count.CALLS_ABANDONED] += 1
         self._settle(call, CallResult.ABANDONED)
         self._remove(call)
-        self._feed(i.CallerLeft(call_id))
+        self._feed(i.CallerAbandoned(call_id))
         self._give_up_rest(call, i.Outcome.CANCELLED)
         return True
 
@@ -295,7 +295,7 @@
         self.counters[Count.ENDED_BEFORE_ANSWER] += 1
         self.counters[CountFamily.ATTEMPTS + i.Outcome.RESET.value] += 1
         self._answer_failed(call, FailureReason.FAILED, 0.0)
-        self._feed(i.CallerLeft(call.id))
+        self._feed(i.CallerAbandoned(call.id))
         self._end(call, i.Outcome.RESET, report)
 
     def _attempt_released(
--- a/softswitch/interface.py
+++ b/softswitch/interface.py
@@ -329,7 +329,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerLeft:
+class CallerAbandoned:
     """The caller waits no longer; the call needs no answer."""
 
     call: str
@@ -380,7 +380,7 @@
     | SetupRequested
     | AttemptAnswered
     | AttemptEnded
-    | CallerLeft
+    | CallerAbandoned
     | TimerFired
     | LoadReported
     | PeerMessageReceived
--- a/softswitch/policy/controller.py
+++ b/softswitch/policy/controller.py
@@ -29,7 +29,7 @@
             i.SetupRequested: self._setup_requested,
             i.AttemptAnswered: self._attempt_over,
             i.AttemptEnded: self._attempt_over,
-            i.CallerLeft: lambda now, event: self._forget(event.call),
+            i.CallerAbandoned: lambda now, event: self._forget(event.call),
             i.TimerFired: self._timer_fired,
             i.EndpointsChanged: lambda now, event: endpoints.endpoints_changed(self, now, event),
             i.LoadReported: lambda now, event: endpoints.load_reported(self, now, event),
--- a/softswitch/simulator_adapter.py
+++ b/softswitch/simulator_adapter.py
@@ -98,7 +98,7 @@
     "request": _setup_requested,
     "flowing": _attempt_answered,
     "answer": _attempt_ended,
-    "client_gone": lambda m: i.CallerLeft(m["handle"]),
+    "client_gone": lambda m: i.CallerAbandoned(m["handle"]),
     "wake": lambda m: i.TimerFired(m["cookie"]),
     "sampled": lambda m: i.LoadReported(m["server"], OUTCOMES[m["rc"]], _report(m)),
     "heard": lambda m: i.PeerMessageReceived(m["src"], bytes.fromhex(m.get("data", ""))),
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -140,7 +140,7 @@
     c.handle(1.0, i.LoadReported("nowhere", i.Outcome.OK, (5.0, 9.0)))
     stands(c, 2.0, "never", "a")
     ended(c, 3.0, "never", "elsewhere", i.Outcome.OK, call_over=True, report=(4.0, 9.0))
-    c.handle(4.0, i.CallerLeft("never"))
+    c.handle(4.0, i.CallerAbandoned("never"))
     c.handle(5.0, i.TimerFired(999))
     c.handle(6.0, i.PeerMessageReceived(3, b"?"))
     assert set(c.gates) == {"a"}
@@ -199,7 +199,7 @@
         else:
             gone = rnd.choice(sorted(owed) or ["none"])
             owed.pop(gone, None)
-            event = i.CallerLeft(gone)
+            event = i.CallerAbandoned(gone)
         for a in c.handle(now, event):
             log.append((step, repr(a)))
             if isinstance(a, i.StartTimer):
