--- a/softswitch/core/policy_executor.py
+++ b/softswitch/core/policy_executor.py
@@ -31,7 +31,7 @@
 from softswitch.core.timer_wheel import TimerWheel
 from softswitch.limits.call_limits import CallLimits
 from softswitch.policy.controller import Controller
-from softswitch.policy.state import EJECTION_FAULTS
+from softswitch.policy.state import EJECTION_FAILURES
 
 RETRY_DELAY_SLACK = 60.0  # ms added to retry_delay: limits on sockets are 50 ms longer, and ticks are coarse
 PROCESSOR_FULL_NOTE = "cpu_full"  # notes of an engine's release
@@ -288,5 +288,5 @@
         """How many of these engines get no calls: draining, ejected, or closed as they asked."""
         gates = [self.controller.gates.get(server) for server in servers]
         ready = [g for g in gates if g is not None and g.state is i.EndpointState.READY]
-        used = [g for g in ready if g.faults < EJECTION_FAULTS and self.wheel.now >= g.closed_until]
+        used = [g for g in ready if g.failures < EJECTION_FAILURES and self.wheel.now >= g.closed_until]
         return len(servers) - len(used)
--- a/softswitch/policy/endpoints.py
+++ b/softswitch/policy/endpoints.py
@@ -3,7 +3,7 @@
 from math import exp, sqrt
 
 from softswitch import interface as i
-from softswitch.policy.state import EJECTION_FAULTS, LONG_AGO, OVERLOADED_FOR, Call, Gate, State
+from softswitch.policy.state import EJECTION_FAILURES, LONG_AGO, OVERLOADED_FOR, Call, Gate, State
 
 MIN_WAIT, MAX_WAIT = 0.08, 0.15  # share of the objective that calls may wait at an endpoint, by weight
 PROBE_INTERVAL = 1000.0  # ms between probes of a closed gate
@@ -18,8 +18,8 @@
 
 def fault(state: State, gate: Gate) -> None:
     """Counts a fault; enough of them eject the endpoint."""
-    gate.faults += 1
-    if EJECTION_FAULTS <= gate.faults < EJECTION_FAULTS + 1:
+    gate.failures += 1
+    if EJECTION_FAILURES <= gate.failures < EJECTION_FAILURES + 1:
         state.actions.append(i.WriteLog(f"endpoint {gate.server} ejected: fails or is silent, probes only"))
 
 
@@ -33,11 +33,11 @@
     gate.established = max(0, gate.established + (outcome is None) - (sent_at is None))
     if outcome in (i.Outcome.RESET, i.Outcome.CONNECT_FAILED):
         if gate.state is i.EndpointState.READY and gate.connection_failed_at < now:
-            gate.faults += 1  # once: a connection that ends takes all attempts on it along
+            gate.failures += 1  # once: a connection that ends takes all attempts on it along
         gate.connection_failed_at = now
-        if gate.faults >= EJECTION_FAULTS and outcome is i.Outcome.CONNECT_FAILED:
+        if gate.failures >= EJECTION_FAILURES and outcome is i.Outcome.CONNECT_FAILED:
             enter_slow_start(state, gate, now)  # the process died: it may be back before the list says so
-            gate.faults = 0.0  # its turns are probes enough
+            gate.failures = 0.0  # its turns are probes enough
     elif outcome in (i.Outcome.TIMEOUT, i.Outcome.CANCELLED):
         if sent_at is not None and gate.answered_at < sent_at:
             gate.observe(now, max(gate.estimate.delay, now - sent_at))
@@ -65,7 +65,7 @@
     elif outcome is i.Outcome.REJECTED:
         gate.free_circuits = 0.0
     elif outcome is not i.Outcome.ERROR:
-        gate.faults /= 2
+        gate.failures /= 2
         if not state.stalled_for or delay > gate.expected_wait(now):  # else it may have waited here, unread
             gate.observe(now, delay)
 
@@ -161,7 +161,7 @@
 
 def probe_due(state: State, now: float, gate: Gate) -> bool:
     """One probe a second, or fewer where those of all softswitches would be more than a small share."""
-    if now < gate.closed_until or (gate.faults >= EJECTION_FAULTS and gate.queued()):
+    if now < gate.closed_until or (gate.failures >= EJECTION_FAILURES and gate.queued()):
         return False
     share = state.constraints.share(i.SHARED_PROBES, gate.server, 1 / state.settings.fleet_size)
     interval = max(PROBE_INTERVAL, 1 / max(1e-9, share * PROBE_SHARE * capacity(state, now, gate)))
@@ -224,7 +224,7 @@
     due = [g for g in able if g not in opened and probe_due(state, now, g)]
     spare = not opened or call.weight < state.max_weight  # calls of the highest weight go where it is safe
     light = call.weight <= state.min_weight  # they probe what was ejected: it reopens by a probe alone
-    probes = [g for g in due if (g is direct and spare) or (g.faults >= EJECTION_FAULTS and light)]
+    probes = [g for g in due if (g is direct and spare) or (g.failures >= EJECTION_FAILURES and light)]
     if probes:
         gate = direct if direct in probes else state.random.choice(probes)
         gate.probed_at = now
--- a/softswitch/policy/state.py
+++ b/softswitch/policy/state.py
@@ -10,7 +10,7 @@
 MAX_MEMORY = 4.0  # windows; an endpoint that answers rarely is remembered longer, up to this
 OVERLOADED_FOR = 10.0  # windows in which an endpoint that was found overloaded is paced
 MAX_FAR = 0.4  # windows; a delay up to this may be an endpoint's distance, a longer one is its load
-EJECTION_FAULTS = 1.5  # faults that eject an endpoint: about every other call setup failing
+EJECTION_FAILURES = 1.5  # faults that eject an endpoint: about every other call setup failing
 
 
 class DelayEstimate:
@@ -61,7 +61,7 @@
         self.in_flight: dict[tuple[str, int], float] = {}  # (call, attempt) not answered: sent at, in order
         self.newest_answered = LONG_AGO  # when the newest call setup that was answered had been sent
         self.answered_at, self.answer_interval = LONG_AGO, 0.0  # its last sign; ms between them, smoothed
-        self.established, self.faults = 0, 0.0  # own calls; faults, halved by each call established
+        self.established, self.failures = 0, 0.0  # own calls; faults, halved by each call established
         self.connection_failed_at = self.probed_at = self.capacity_at = LONG_AGO
         self.closed_until = self.overloaded_until = LONG_AGO  # by its retry_after; by its delay or report
         self.tolerated_wait = self.fastest_answer = 0.0  # ms; a few call setups that wait are no overload
@@ -89,7 +89,7 @@
 
     def is_open(self, now: float, limit: float) -> bool:
         """Whether one more call setup would be answered within `limit` ms, or nearly as fast as any was."""
-        closed = self.faults >= EJECTION_FAULTS or now < self.closed_until
+        closed = self.failures >= EJECTION_FAILURES or now < self.closed_until
         far = min(2 * self.fastest_answer, MAX_FAR * self.estimate.window)
         return not closed and self.expected_wait(now) < max(limit, self.tolerated_wait, far)
 
--- a/tests/test_admission_gate.py
+++ b/tests/test_admission_gate.py
@@ -195,15 +195,15 @@
     for k in range(2):
         call(c, 10.0 + k, f"x{k}", dest=0)
         assert sends(ended(c, 11.0 + k, f"x{k}", "a", i.Outcome.ERROR)) == [i.SendAttempt(f"x{k}", "b")]
-        assert c.gates["a"].faults == k
+        assert c.gates["a"].failures == k
         stands(c, 12.0 + k, f"x{k}", "b", n=1)
-    assert c.gates["a"].faults >= 1.5
+    assert c.gates["a"].failures >= 1.5
     c.gates["a"].probed_at = 13.0
     assert sends(call(c, 14.0, "y", dest=0)) == [i.SendAttempt("y", "b")]
     stands(c, 20.0, "y", "b")
     assert sends(call(c, 1100.0, "trial", dest=0)) == [i.SendAttempt("trial", "a")]
     stands(c, 1140.0, "trial", "a")
-    assert c.gates["a"].faults < 1.5
+    assert c.gates["a"].failures < 1.5
 
 
 def test_calls_that_no_server_can_use_shut_no_gate_and_are_refused_at_the_second_error():
@@ -217,7 +217,7 @@
                 assert second.server != first.server
                 acts = ended(c, 10.4 + k, f"x{k}", second.server, i.Outcome.ERROR, n=1)
             assert i.Reject(f"x{k}", 2000.0) in acts
-        assert not any(g.faults for g in c.gates.values())
+        assert not any(g.failures for g in c.gates.values())
         assert not c.calls
         assert sends(call(c, 31.0, "good", dest=0)) == [i.SendAttempt("good", "a")]
 
@@ -240,12 +240,12 @@
     for k in range(5):
         call(c, 10.0 + k, f"x{k}")
         ended(c, 11.0 + k, f"x{k}", "a", i.Outcome.ERROR, call_over=True, callee_busy=True)
-    assert c.gates["a"].faults < 1.5
+    assert c.gates["a"].failures < 1.5
 
 
 def test_barred_server_that_is_nobodys_destination_still_gets_trials():
     c = front(("a", "b"))
-    c.gates["a"].faults = 2.0
+    c.gates["a"].failures = 2.0
     assert sends(call(c, 2000.0, "dear", klass="dear", dest=1)) == [i.SendAttempt("dear", "b")]
     assert sends(call(c, 2001.0, "plain", dest=1)) == [i.SendAttempt("plain", "a")]
     assert sends(call(c, 2002.0, "next", dest=1)) == [i.SendAttempt("next", "b")]
@@ -289,7 +289,7 @@
     went, fronts = 0, 50
     for n in range(fronts):
         c = front(("a",), seed=n, fleet_size=250)
-        c.gates["a"].faults = 9.0  # shut but for trials, at every front
+        c.gates["a"].failures = 9.0  # shut but for trials, at every front
         for t in range(1000, 21000, 250):  # four calls a second, all for this server
             acts = c.handle(float(t), i.TimerFired(0)) + call(c, float(t), f"t{t}")
             for a in sends(acts):
--- a/tests/test_call_limits.py
+++ b/tests/test_call_limits.py
@@ -138,7 +138,7 @@
     assert [a.call for a in actions if isinstance(a, i.Reject)] == ["x"]
     assert [type(a) for a in call(c, 60.0, "y", number="7") if not isinstance(a, i.StartTimer)] == [i.Reject]
     assert sends(call(c, 61.0, "z", number="8"))
-    assert c.gates["a"].faults == 0.0
+    assert c.gates["a"].failures == 0.0
     probe = call(c, 51.0 + FIRST_INTERVAL, "p", number="7")
     assert sends(probe)
     stands(c, 600.0, "p", "a")
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -95,10 +95,10 @@
 def test_gates_and_cold_guards_survive_new_settings():
     b = Bench()
     gate = b.switch.controller.gates[A]
-    gate.faults, gate.cold_since, gate.delay = 2.0, 900.0, 77.0
+    gate.failures, gate.cold_since, gate.delay = 2.0, 900.0, 77.0
     b.switch.apply_settings(settings(max_attempts=2))
     assert b.switch.controller.gates[A] is gate
-    assert (gate.faults, gate.cold_since, gate.delay) == (2.0, 900.0, 77.0)
+    assert (gate.failures, gate.cold_since, gate.delay) == (2.0, 900.0, 77.0)
     assert b.switch.report_figures()["out_of_rotation"] == 1
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -303,7 +303,7 @@
         ended(c, 200.0, f"x{k}", "a", i.Outcome.RESET)
         ended(c, 200.0, f"stood{k}", "a", i.Outcome.RESET, call_over=True)
     assert c.gates["a"].slow_start_at is None
-    assert c.gates["a"].faults == 1
+    assert c.gates["a"].failures == 1
     assert sends(call(c, 201.0, "next")) == [i.SendAttempt("next", "a")]
 
 
