--- a/benchmarks/call_limits.py
+++ b/benchmarks/call_limits.py
@@ -51,10 +51,10 @@
             continue
         limits.weight_of(now, request, CALL_CLASS, 0.2)
         busy = rng.random() < BUSY_SHARE
-        event: i.AttemptOver = i.AttemptAnswered(request.call, 0, "e", 40.0)
+        event: i.AttemptEvent = i.AttemptAnswered(request.call, 0, "e", 40.0)
         if busy:
             event = i.AttemptEnded(request.call, 0, "e", i.Outcome.ERROR, 40.0, callee_busy=True)
-        limits.attempt_over(now, event, request)
+        limits.record_attempt_event(now, event, request)
     return rejected
 
 
--- a/softswitch/interface.py
+++ b/softswitch/interface.py
@@ -211,7 +211,7 @@
         `call_share`: this softswitch's share of all calls, from 0 to 1.
         """
 
-    def attempt_over(self, now: float, event: AttemptOver, request: SetupRequested | None) -> None:
+    def record_attempt_event(self, now: float, event: AttemptEvent, request: SetupRequested | None) -> None:
         """An attempt was answered or ended; `request`: of its call, None if that was established before."""
 
 
@@ -228,7 +228,7 @@
         """The weight by its class alone."""
         return call_class.weight_of(request.redial)
 
-    def attempt_over(self, now: float, event: AttemptOver, request: SetupRequested | None) -> None:
+    def record_attempt_event(self, now: float, event: AttemptEvent, request: SetupRequested | None) -> None:
         """Learns nothing."""
 
 
@@ -325,7 +325,7 @@
     report: tuple[float, ...] = ()  # a load report, in the order of the settings' report_fields
 
 
-AttemptOver = AttemptAnswered | AttemptEnded
+AttemptEvent = AttemptAnswered | AttemptEnded
 
 
 @dataclass(frozen=True, slots=True)
--- a/softswitch/limits/call_limits.py
+++ b/softswitch/limits/call_limits.py
@@ -32,7 +32,9 @@
         share = self.tenants.weight_share(now, request.tenant, call_class, call_share)
         return call_class.weight_of(request.redial) * share
 
-    def attempt_over(self, now: float, event: i.AttemptOver, request: i.SetupRequested | None) -> None:
+    def record_attempt_event(
+        self, now: float, event: i.AttemptEvent, request: i.SetupRequested | None
+    ) -> None:
         """An attempt was answered or ended; `request`: of its call, None if that was established before."""
         if request is None:
             self.numbers.ended(now, event.call)
--- a/softswitch/policy/controller.py
+++ b/softswitch/policy/controller.py
@@ -27,8 +27,8 @@
         self.sweep_due: float | None = None
         self._handlers: dict[type, i.EventHandler] = {
             i.SetupRequested: self._setup_requested,
-            i.AttemptAnswered: self._attempt_over,
-            i.AttemptEnded: self._attempt_over,
+            i.AttemptAnswered: self._attempt_event,
+            i.AttemptEnded: self._attempt_event,
             i.CallerAbandoned: lambda now, event: self._forget(event.call),
             i.TimerFired: self._timer_fired,
             i.EndpointsChanged: lambda now, event: endpoints.endpoints_changed(self, now, event),
@@ -90,11 +90,11 @@
             self._try(now, call)
         self._stack(now, call)
 
-    def _attempt_over(self, now: float, event: i.AttemptOver) -> None:
+    def _attempt_event(self, now: float, event: i.AttemptEvent) -> None:
         """The attempt was answered, or ended: what becomes of its call."""
-        endpoints.attempt_over(self, now, event)
+        endpoints.record_attempt_event(self, now, event)
         call, outcome = self.calls.get(event.call), event.outcome
-        self.limits.attempt_over(now, event, call.request if call else None)
+        self.limits.record_attempt_event(now, event, call.request if call else None)
         if call is None or call.gate is None or event.attempt != call.attempts - 1:
             return
         for gate in call.failed_gates if outcome is None else ():
--- a/softswitch/policy/endpoints.py
+++ b/softswitch/policy/endpoints.py
@@ -23,7 +23,7 @@
         state.actions.append(i.WriteLog(f"endpoint {gate.server} ejected: fails or is silent, probes only"))
 
 
-def attempt_over(state: State, now: float, event: i.AttemptOver) -> None:
+def record_attempt_event(state: State, now: float, event: i.AttemptEvent) -> None:
     """An attempt was answered there, or it or an established call ended."""
     gate, outcome = state.gates.get(event.server), event.outcome
     if gate is None:
@@ -46,7 +46,7 @@
         _answered(state, now, gate, sent_at, event)
 
 
-def _answered(state: State, now: float, gate: Gate, sent_at: float | None, event: i.AttemptOver) -> None:
+def _answered(state: State, now: float, gate: Gate, sent_at: float | None, event: i.AttemptEvent) -> None:
     if gate.answered_at > LONG_AGO:
         gate.answer_interval += (now - gate.answered_at - gate.answer_interval) / 5
     gate.answered_at = now
@@ -93,7 +93,7 @@
         del state.gates[server]
 
 
-def load_reported(state: State, now: float, event: i.LoadReported | i.AttemptOver) -> None:
+def load_reported(state: State, now: float, event: i.LoadReported | i.AttemptEvent) -> None:
     """A load report came unasked, or with the end of an attempt."""
     gate, report = state.gates.get(event.server), i.LoadReport.of(state.settings.report_fields, event.report)
     if gate is None:
