--- a/softswitch/core/policy_executor.py
+++ b/softswitch/core/policy_executor.py
@@ -277,7 +277,7 @@
         """Brings the counters up to date that the limits keep themselves."""
         self.counters[Count.BUSY_NUMBER_REJECTED] = self.limits.numbers.rejected
         self.counters[Count.BUSY_NUMBER_PROBES] = self.limits.numbers.probes
-        self.counters[Count.OVER_QUOTA] = self.limits.tenants.over
+        self.counters[Count.OVER_QUOTA] = self.limits.tenants.over_quota_calls
 
     def report_figures(self) -> dict[str, Any]:
         """The figures for operators."""
--- a/softswitch/limits/tenants.py
+++ b/softswitch/limits/tenants.py
@@ -44,7 +44,7 @@
     """
 
     def __init__(self, settings: i.Settings) -> None:
-        self.over = 0  # calls beyond their tenant's quota
+        self.over_quota_calls = 0  # calls beyond their tenant's quota
         self.buckets: dict[str, TokenBucket] = {}
         self.apply(settings)
 
@@ -66,5 +66,5 @@
         bucket = self.buckets.get(tenant)
         if bucket is None or bucket.take(now, part):
             return 1.0
-        self.over += 1
+        self.over_quota_calls += 1
         return self.over_weight if call_class.priority_weight <= self.min_weight else 1.0
--- a/tests/test_call_limits.py
+++ b/tests/test_call_limits.py
@@ -218,7 +218,7 @@
     assert quotas.weight_share(0.0, "acme", DEAR, 0.5) == 1.0  # never the dear ones
     assert quotas.weight_share(201.0, "acme", PLAIN, 0.5) == 1.0  # a token each 200 ms
     assert quotas.weight_share(202.0, "acme", PLAIN, 0.5) == 0.1
-    assert quotas.over == 5
+    assert quotas.over_quota_calls == 5
 
 
 def test_new_settings_keep_the_tokens_of_tenants_that_stay():
@@ -245,7 +245,7 @@
         n = rng.choices(range(len(shares)), shares)[0]
         parts[n].weight_share(now, "acme", PLAIN, shares[n])
         calls += 1
-    assert 0.35 < sum(p.over for p in parts) / calls < 0.55
+    assert 0.35 < sum(p.over_quota_calls for p in parts) / calls < 0.55
 
 
 def test_under_pressure_a_call_beyond_the_quota_waits_behind_one_within_it():
