--- a/softswitch/interface.py
+++ b/softswitch/interface.py
@@ -1,7 +1,8 @@
-"""Types of the decision module: its settings, the events that it takes and the actions that it returns.
+"""Types of the decision module: its settings, its input events and the actions that it returns.
 
-All times and durations are milliseconds on the caller's own clock, as floats. A *call setup* is a call that
-asks to be established; an *attempt* is one try of it at one endpoint (a quote engine).
+All times and durations are floats in milliseconds. Times are on the clock of the code that calls the module.
+A *call setup* is a request to establish a call; an *attempt* offers the call once to one endpoint (a quote
+engine).
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
     OK = "ok"  # the call was established and has ended
     ERROR = "error"
-    REJECTED = "full"  # by the endpoint; the attempt never ran
+    REJECTED = "full"  # by the endpoint, for lack of capacity; the attempt never ran
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"  # the attempt never ran
     RESET = "reset"
@@ -25,14 +26,14 @@
     NOT_SENT = "moot"
 
 
-# A retry waits for retry_delay after these.
+# After these outcomes, a retry waits for retry_delay.
 DELAYS_RETRY = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
-# After these the attempt has certainly not run.
+# After these outcomes, the attempt has certainly not run.
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class EndpointState(Enum):
-    """What the endpoint list says of an endpoint."""
+    """State of an endpoint in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -40,7 +41,7 @@
 
 
 class UpdateKind(Enum):
-    """What an update of the endpoint list holds."""
+    """Contents of an update of the endpoint list."""
 
     CHANGES = "changes"
     COMPLETE = "whole"  # the complete list
@@ -50,96 +51,104 @@
 
 @dataclass(frozen=True, slots=True)
 class CallClass:
-    """One class of calls, as the settings describe it."""
+    """Settings of one class of calls."""
 
     name: str
-    latency_objective: float  # ms from the first attempt; a call established within it counts in full
+    latency_objective: float  # ms from the caller's first try; a call established within it counts in full
     priority_weight: float = 1.0
-    holding_time: float = 0.0  # ms that a call lasts on average; 0: unknown
-    late_weight_share: float = 0.0  # share of the weight that counts after the objective
-    deadline: float = 0.0  # ms after which its callers have given up; 0: unknown
-    idempotent: bool = True  # may be sent again although an attempt may have run
-    cells: tuple[int, ...] | None = None  # cells whose endpoints can take it; None: any
+    holding_time: float = 0.0  # ms, average duration of a call; 0: unknown
+    late_weight_share: float = 0.0  # fraction of the weight that counts after the objective
+    deadline: float = 0.0  # ms after which callers of this class have given up; 0: unknown
+    idempotent: bool = True  # a retry is safe even if an attempt may have run
+    cells: tuple[int, ...] | None = None  # cells whose endpoints accept this class; None: any
 
     def weight_of(self, redial: bool) -> float:
-        """The priority weight of a call; a redial is late already."""
+        """Returns the priority weight of a call; a redial counts as late."""
         return self.priority_weight * (self.late_weight_share if redial else 1.0)
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant, as the settings describe it."""
+    """Settings of one tenant."""
 
     name: str
-    quota: float  # calls a second, of all softswitches together
+    quota: float  # calls per second over all softswitches
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What the decision module may do, and what it is told of its surroundings."""
+    """Permissions of the decision module, and properties of the network, the endpoints and the tenants."""
 
     classes: tuple[CallClass, ...]
     fleet_size: int = 1  # number of softswitches
-    own_cell: int = -1  # cell of this softswitch's own exchange; never sent to
+    own_cell: int = -1  # cell of this softswitch's own exchange, which gets no calls; -1: none
     report_fields: tuple[str, ...] = ()  # of load reports: free, size, queue, latency_ms, qps and others
     may_cancel: bool = False
     may_message_peers: bool = False
     may_probe: bool = False
     may_send_retry_after: bool = False
     max_retry_after: float = 0.0  # ms
-    max_attempts: int = 1  # for one call
-    list_pushed: bool = True  # False: changes of the list come only after SubscribeEndpoints
-    retry_delay: float = 0.0  # ms from a timeout, reset or cancel to the call's next attempt
-    retransmit_after: float = 0.0  # ms until the network sends a waiting call setup again; 0: never
-    warm_up: float = 0.0  # ms until a started endpoint is warm, at most
-    initial_capacity: float = 1.0  # share of its capacity that an endpoint starts with, at least
-    overload_factor: float = 1.0  # times its present capacity, for overload_window, fails a warming endpoint
+    max_attempts: int = 1  # per call
+    list_pushed: bool = True  # False: list updates arrive only after SubscribeEndpoints
+    retry_delay: float = 0.0  # ms between a timeout, reset or cancel and the call's next attempt
+    retransmit_after: float = 0.0  # ms until the network retransmits a waiting call setup; 0: never
+    warm_up: float = 0.0  # ms, maximum time until a started endpoint is warmed up
+    initial_capacity: float = 1.0  # minimum fraction of its capacity that an endpoint starts with
+    # A warming endpoint fails under this multiple of its current capacity, sustained for overload_window.
+    overload_factor: float = 1.0
     overload_window: float = 1000.0  # ms
-    tick: float = 1.0  # ms, the shortest gap between two batches of events
-    slow_start_share: float = 1.0  # of the softswitch's share of warming endpoints: two processes may be one
-    connect_timeout: float = 500.0  # ms until a connection that does not come up has failed
+    tick: float = 1.0  # ms, minimum interval between two batches of events
+    # Fraction of this softswitch's slow start budget that this process may use: two processes of one
+    # softswitch divide the budget.
+    slow_start_share: float = 1.0
+    connect_timeout: float = 500.0  # ms after which an attempt to connect has failed
     tenants: tuple[Tenant, ...] = ()
-    over_quota_weight: float = 1.0  # share of its weight that a call beyond its tenant's quota counts
+    over_quota_weight: float = 1.0  # fraction of its weight that a call over its tenant's quota keeps
 
     @property
     def max_weight(self) -> float:
-        """The highest priority weight of all classes; 1 if all are 0."""
+        """Highest priority weight of all classes; 1 if all weights are 0."""
         return max(c.priority_weight for c in self.classes) or 1.0
 
     @property
     def min_weight(self) -> float:
-        """The lowest priority weight of all classes."""
+        """Lowest priority weight of all classes."""
         return min(c.priority_weight for c in self.classes)
 
     @property
     def retry_after(self) -> float:
-        """Ms that a rejected caller may be told to wait; 0: none."""
+        """Retry-after time for rejected callers, in ms; 0: none is sent."""
         return self.max_retry_after if self.may_send_retry_after else 0.0
 
     @property
     def max_objective(self) -> float:
-        """The longest latency objective of all classes, ms."""
+        """Longest latency objective of all classes, in ms."""
         return max(c.latency_objective for c in self.classes)
 
     @property
     def mean_holding_time(self) -> float:
-        """Ms that a call lasts on average over the classes; the longest objective where none is known."""
+        """Holding time averaged over the classes, in ms; the longest objective if all are unknown."""
         return sum(c.holding_time for c in self.classes) / len(self.classes) or self.max_objective
 
     def __post_init__(self) -> None:
         if not self.classes or len({c.name for c in self.classes}) != len(self.classes):
-            raise ValueError("settings: at least one class, and no class name twice")
+            raise ValueError("settings: classes must not be empty, and class names must be unique")
         for c in self.classes:
             if not c.latency_objective > 0 or not c.priority_weight >= 0 or not 0 <= c.late_weight_share <= 1:
-                raise ValueError(f"settings: class {c.name}: aim > 0, worth >= 0, late_share 0 to 1")
+                raise ValueError(
+                    f"settings: class {c.name}: latency_objective must be > 0, priority_weight >= 0, "
+                    "late_weight_share from 0 to 1"
+                )
         if self.fleet_size < 1 or self.max_attempts < 0:
-            raise ValueError("settings: fleet_size >= 1 and max_attempts >= 0")
+            raise ValueError("settings: fleet_size must be >= 1, max_attempts >= 0")
         if not 0 < self.initial_capacity <= 1 or not self.overload_factor > 0 or not self.overload_window > 0:
-            raise ValueError("settings: 0 < cold_from <= 1, overload_factor > 0, overload_for > 0")
+            raise ValueError(
+                "settings: initial_capacity must be > 0 and <= 1, overload_factor > 0, overload_window > 0"
+            )
         durations = ("retry_delay", "retransmit_after", "warm_up", "tick", "max_retry_after")
         for name in durations:
             if not getattr(self, name) >= 0:
-                raise ValueError(f"settings: {name} is a duration, >= 0")
+                raise ValueError(f"settings: {name} must be a duration >= 0")
 
 
 @dataclass(frozen=True, slots=True)
@@ -150,30 +159,33 @@
     cell: int
     state: EndpointState
     started_at: float = 0.0  # clock time of its last start; 0: long ago
-    weight: float = 1.0  # size beside other endpoints
+    weight: float = 1.0  # size relative to other endpoints
 
 
 class Constraints(Protocol):
-    """Quotas shared with other softswitches. The module asks before it decides, and reports what it did."""
+    """Quotas shared with other softswitches. The module checks them, and reports each attempt to them."""
 
     def admit(self, call_class: str, priority_weight: float) -> float:
-        """Admits a call and counts it: 0. Otherwise ms until the exhausted quota opens."""
+        """Returns 0 and counts the call if it is admitted; otherwise ms until the exhausted quota opens."""
 
     def attempt_wanted(self, call_class: str, retry: bool, priority_weight: float) -> None:
-        """Records that an attempt is wanted, wherever it may go; called once for each."""
+        """Records that a call needs an attempt, at any endpoint; called once per attempt."""
 
     def may_attempt(self, call_class: str, server: str, retry: bool) -> bool:
-        """Whether an attempt may go to that endpoint now."""
+        """Whether an attempt may be sent to that endpoint now."""
 
     def attempt_sent(self, call_class: str, server: str, retry: bool) -> None:
-        """Records that an attempt goes there."""
+        """Records that an attempt is sent to that endpoint."""
 
     def share(self, resource: str, server: str, default: float) -> float:
-        """The share held of a `SHARED_...` resource of that endpoint; `default` if it is not divided."""
+        """Returns the fraction of the endpoint's `SHARED_...` resource that this softswitch holds.
+
+        `default`: returned if the resource is not divided.
+        """
 
 
 class Unlimited:
-    """Constraints that limit nothing."""
+    """Constraints without any limit."""
 
     def admit(self, call_class: str, priority_weight: float) -> float:
         """Admits every call."""
@@ -190,7 +202,7 @@
         """Records nothing."""
 
     def share(self, resource: str, server: str, default: float) -> float:
-        """Divides nothing."""
+        """Returns the default: no resource is divided."""
         return default
 
 
@@ -198,58 +210,61 @@
 
 
 class CallLimits(Protocol):
-    """Limits of this softswitch alone, by what calls have in common. The module asks, and reports ends."""
+    """Limits of this softswitch alone on calls that share an attribute: the called number or the tenant.
+
+    The module checks them for each call setup, and reports the events of attempts to them.
+    """
 
     def admit(self, now: float, request: SetupRequested, call_class: CallClass, shared: Constraints) -> float:
-        """Admits a call, by the `shared` quotas too: 0. Otherwise ms until one like it may be tried."""
+        """Returns 0 if these limits and `shared` admit the call; else ms until a similar call may pass."""
 
     def weight_of(
         self, now: float, request: SetupRequested, call_class: CallClass, call_share: float
     ) -> float:
-        """The priority weight of a call that was admitted; asked once for each.
+        """Returns the priority weight of an admitted call; called once per call.
 
-        `call_share`: this softswitch's share of all calls, from 0 to 1.
+        `call_share`: this softswitch's fraction of all calls, from 0 to 1.
         """
 
     def record_attempt_event(self, now: float, event: AttemptEvent, request: SetupRequested | None) -> None:
-        """An attempt was answered or ended; `request`: of its call, None if that was established before."""
+        """Records an answered or ended attempt; `request` is None if the call was established before."""
 
 
 class NoCallLimits:
-    """Only the quotas that are shared limit anything."""
+    """Call limits that apply the shared quotas alone."""
 
     def admit(self, now: float, request: SetupRequested, call_class: CallClass, shared: Constraints) -> float:
-        """Admits what the shared quotas admit."""
+        """Applies the shared quotas."""
         return shared.admit(call_class.name, call_class.priority_weight)
 
     def weight_of(
         self, now: float, request: SetupRequested, call_class: CallClass, call_share: float
     ) -> float:
-        """The weight by its class alone."""
+        """Returns the weight of the call's class."""
         return call_class.weight_of(request.redial)
 
     def record_attempt_event(self, now: float, event: AttemptEvent, request: SetupRequested | None) -> None:
-        """Learns nothing."""
+        """Records nothing."""
 
 
 NO_CALL_LIMITS = NoCallLimits()
-SHARED_SLOW_START = "cold"  # call setups that a warming endpoint bears from all softswitches
-SHARED_PROBES = "probes"  # probes that an endpoint bears from all softswitches
+SHARED_SLOW_START = "cold"  # call setups that a warming endpoint can take from all softswitches
+SHARED_PROBES = "probes"  # probes that an endpoint can take from all softswitches
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """What a load report tells; values under 0 are not known."""
+    """Load report of an endpoint; a negative value is unknown."""
 
     circuits: float = -1.0
     free_circuits: float = -1.0
     wait: float = -1.0  # ms
-    rate: float = -1.0  # call setups a second that it can take
-    queue: float = -1.0  # call setups that wait
+    rate: float = -1.0  # call setups per second that it can take
+    queue: float = -1.0  # waiting call setups
 
     @classmethod
-    def of(cls, fields: tuple[str, ...], values: tuple[float, ...]) -> LoadReport:
-        """`fields` names the values, as the settings' report_fields do."""
+    def from_values(cls, fields: tuple[str, ...], values: tuple[float, ...]) -> LoadReport:
+        """Builds a report from its values; `fields` names them, as report_fields of the settings does."""
         if not values:
             return NO_REPORT
         known = dict(zip(fields, values, strict=False))
@@ -264,13 +279,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsChanged:
-    """The endpoint list, or a part of it, as it is now."""
+    """An update of the endpoint list: the complete list, or the entries that changed."""
 
     kind: UpdateKind
     endpoints: tuple[Endpoint, ...] = ()
 
     def unlisted(self, known: Iterable[str]) -> list[str]:
-        """Those of the known servers that a complete list leaves out: they are removed."""
+        """Returns the known servers that a complete list omits; they are removed."""
         if self.kind is UpdateKind.CHANGES:
             return []
         listed = {endpoint.server for endpoint in self.endpoints}
@@ -279,17 +294,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SetupRequested:
-    """A call is handed to this softswitch, which now owes it one final answer or an established call."""
+    """A call setup arrived. The softswitch has to establish the call or send one final answer."""
 
     call: str
     call_class: str
     destination_cell: int  # cell of first choice
-    timeout: float  # ms until the caller gives up on this try
+    timeout: float  # ms until the caller abandons this setup
     redial: bool = False
     transit: bool = False
-    circuits: float = 1.0  # that it takes
-    number: str = ""  # the number called; empty: unknown
-    tenant: str = ""  # whose call it is; empty: nobody's
+    circuits: float = 1.0  # that it occupies
+    number: str = ""  # called number; empty: unknown
+    tenant: str = ""  # name of the tenant; empty: none
 
 
 @dataclass(frozen=True, slots=True)
@@ -300,7 +315,7 @@
     attempt: int
     server: str
     elapsed: float  # ms since it was sent
-    # What the end of an attempt tells besides; here it has not ended.
+    # The further fields of AttemptEnded, with constant values: this attempt has not ended.
     outcome: ClassVar[None] = None
     call_over: ClassVar[bool] = False
     processor_full: ClassVar[bool] = False
@@ -319,10 +334,10 @@
     outcome: Outcome
     elapsed: float  # ms since it was sent
     call_over: bool = False  # the call needs no further answer
-    processor_full: bool = False  # with REJECTED: its processor, not its circuits
-    callee_busy: bool = False  # with ERROR: the called number's circuits are busy, no fault of the endpoint
-    retry_after: float = 0.0  # ms that a full processor asks to be left alone
-    report: tuple[float, ...] = ()  # a load report, in the order of the settings' report_fields
+    processor_full: bool = False  # with REJECTED: the processor is overloaded; False: no circuit is free
+    callee_busy: bool = False  # with ERROR: all lines of the called number are busy; the endpoint works
+    retry_after: float = 0.0  # ms for which an overloaded processor requests no calls
+    report: tuple[float, ...] = ()  # load report, in the order of the settings' report_fields
 
 
 AttemptEvent = AttemptAnswered | AttemptEnded
@@ -330,21 +345,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerAbandoned:
-    """The caller waits no longer; the call needs no answer."""
+    """The caller abandoned the call, which needs no answer."""
 
     call: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The time of a StartTimer has come."""
+    """A timer started by StartTimer expired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class LoadReported:
-    """A load report that came outside an answer; values under 0 are not known."""
+    """A load report arrived on its own, outside the end of an attempt."""
 
     server: str
     outcome: Outcome
@@ -353,7 +368,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageReceived:
-    """Another softswitch sent data."""
+    """A message from another softswitch arrived."""
 
     source: int
     data: bytes = b""
@@ -361,14 +376,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings hold from now on. Calls in progress keep the class that they came with."""
+    """New settings take effect. Calls in progress keep the class settings that they arrived with."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class ConstraintsChanged:
-    """Other constraints hold from now on."""
+    """New constraints take effect."""
 
     constraints: Constraints = UNLIMITED
 
@@ -403,22 +418,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer the call: rejected, and trying again is harmless."""
+    """Answer the call as rejected: it is safe to try again."""
 
     call: str
-    retry_after: float = 0.0  # ms; 0: no advice
+    retry_after: float = 0.0  # ms; 0: not sent
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Answer the call: failed, an attempt may have run."""
+    """Answer the call as failed: an attempt may have run."""
 
     call: str
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Give up an attempt that is not answered."""
+    """Cancel an unanswered attempt."""
 
     call: str
     attempt: int
@@ -426,7 +441,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Report TimerFired at a clock time."""
+    """Deliver TimerFired at a clock time."""
 
     at: float
     token: int
@@ -434,7 +449,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Send data to another softswitch."""
+    """Send a message to another softswitch."""
 
     data: bytes
     peer: int | None = None  # None: all
@@ -449,7 +464,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscribeEndpoints:
-    """Ask for changes of the endpoint list from now on."""
+    """Subscribe to updates of the endpoint list."""
 
 
 Action = (
--- a/softswitch/policy/endpoints.py
+++ b/softswitch/policy/endpoints.py
@@ -95,7 +95,10 @@
 
 def load_reported(state: State, now: float, event: i.LoadReported | i.AttemptEvent) -> None:
     """A load report came unasked, or with the end of an attempt."""
-    gate, report = state.gates.get(event.server), i.LoadReport.of(state.settings.report_fields, event.report)
+    gate, report = (
+        state.gates.get(event.server),
+        i.LoadReport.from_values(state.settings.report_fields, event.report),
+    )
     if gate is None:
         return
     if report.circuits >= 0 and report.free_circuits >= 0:
