--- a/softswitch/policy/__init__.py
+++ b/softswitch/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Which endpoint a call goes to, or that it is rejected (docs/design.md). Types: softswitch/interface.py."""
+"""Selects an endpoint for each call, or rejects the call (docs/design.md). Types: softswitch/interface.py."""
--- a/softswitch/policy/controller.py
+++ b/softswitch/policy/controller.py
@@ -1,29 +1,29 @@
-"""Queues calls, sends, retries and cancels attempts, and gives up: `handle(now, event) -> actions`."""
+"""Queues calls; sends, retries and cancels attempts; gives up calls: `handle(now, event) -> actions`."""
 
 from softswitch import interface as i
 from softswitch.policy import endpoints
 from softswitch.policy.state import LONG_AGO, Call, Gate, State
 
-SWEEP_INTERVAL = 25.0  # ms; queued calls are looked at every two of these, others every four
-SWEEP_TOKEN = 0  # of the sweep's timer; calls' timers count from 1
-STALL = 100.0  # ms; a timer later than this shows that this process itself stood still
-ANSWER_RESERVE = 0.15  # share of the objective kept for the answer of an attempt that is moved after silence
-MAX_FAILED_GATES = 1  # a call that more endpoints answer with an error is itself at fault, it seems
+SWEEP_INTERVAL = 25.0  # ms; the sweep timer runs for two of these while calls are queued, otherwise for four
+SWEEP_TOKEN = 0  # of the sweep timer; timers of calls count from 1
+STALL_THRESHOLD = 100.0  # ms; a timer that fires later than this shows a stall of this process
+ANSWER_RESERVE = 0.15  # fraction of the objective left for the answer when a call leaves a silent endpoint
+MAX_FAILED_GATES = 1  # if more endpoints answer a call with an error, the call itself is taken to be invalid
 
 
 class Controller(State):
-    """One softswitch's decisions."""
+    """Decisions of one softswitch."""
 
     def __init__(self, settings: i.Settings, seed: int, limits: i.CallLimits = i.NO_CALL_LIMITS) -> None:
         super().__init__(settings, seed)
         self.limits = limits
-        self.max_timeout: dict[str, float] = {}  # longest of a first try seen, by class
+        self.max_timeout: dict[str, float] = {}  # longest timeout seen by class, without redials
         self.queued: dict[str, Call] = {}  # calls with no attempt in flight, in order of arrival
-        self.stacks: dict[tuple[str, float, int], list[Call]] = {}  # by kind: those that may go, newest last
-        self.delayed: list[Call] = []  # those that wait for retry_delay
-        self.queued_weight = -1.0  # the highest of those that found no open gate
+        self.stacks: dict[tuple[str, float, int], list[Call]] = {}  # calls ready to send, newest last
+        self.delayed: list[Call] = []  # queued calls that wait for retry_delay
+        self.max_blocked_weight = -1.0  # highest weight of the calls that found no open gate
         self.served_at = self.swept_at = self.last_event_at = LONG_AGO
-        self.timers, self.next_token = dict[int, str](), SWEEP_TOKEN + 1  # token: call
+        self.timers, self.next_token = dict[int, str](), SWEEP_TOKEN + 1  # token: call id
         self.sweep_due: float | None = None
         self._handlers: dict[type, i.EventHandler] = {
             i.SetupRequested: self._setup_requested,
@@ -39,14 +39,14 @@
         }
 
     def start(self, now: float) -> list[i.Action]:
-        """The actions before the first event."""
+        """Returns the actions before the first event."""
         return [] if self.settings.list_pushed else [i.SubscribeEndpoints()]
 
     def handle(self, now: float, event: i.Event) -> list[i.Action]:
-        """Takes in an event; returns what is to be done."""
+        """Handles an event and returns the resulting actions."""
         self.actions = []
         if now > self.last_event_at:
-            self._look_for_stall(now)
+            self._detect_stall(now)
         self._handlers[type(event)](now, event)
         if not isinstance(event, i.SetupRequested) and self.queued and now > self.served_at:
             self._serve_queue(now)
@@ -55,14 +55,14 @@
             self.actions.append(i.StartTimer(self.sweep_due, SWEEP_TOKEN))
         return self.actions
 
-    def _look_for_stall(self, now: float) -> None:
-        """An overdue timer shows a stall of this process: what waited meanwhile is no endpoint's delay."""
-        overdue = self.sweep_due is not None and now - self.sweep_due > STALL
+    def _detect_stall(self, now: float) -> None:
+        """Detects a stall of this process by an overdue timer, to discount it from endpoints' delays."""
+        overdue = self.sweep_due is not None and now - self.sweep_due > STALL_THRESHOLD
         stalled = self.stalled_for = now - self.last_event_at if overdue else 0.0
         self.last_event_at = now
         if stalled:
             self.sweep_due = now
-            self.actions.append(i.WriteLog(f"this process stood still for {stalled:.0f} ms"))
+            self.actions.append(i.WriteLog(f"this process was stalled for {stalled:.0f} ms"))
             for gate in self.gates.values():
                 gate.in_flight = {key: min(now, sent + stalled) for key, sent in gate.in_flight.items()}
 
@@ -71,7 +71,7 @@
         if event.call in self.calls:
             return
         wait = self.limits.admit(now, event, call_class, self.constraints) if call_class else 0.0
-        if call_class is None or wait:  # to come again as the quota opens
+        if call_class is None or wait:  # the retry-after time is when the quota opens
             self.actions.append(i.Reject(event.call, min(wait, self.settings.retry_after)))
             return
         weight = self.limits.weight_of(now, event, call_class, self.call_share)
@@ -80,31 +80,32 @@
         if not event.redial:
             longest = max(event.timeout, self.max_timeout.get(event.call_class, 0.0))
             self.max_timeout[event.call_class] = longest
-            call.received_at -= min(self.stalled_for, longest - event.timeout)  # it came during the stall
+            # A timeout below the longest shows that the call setup waited unread during the stall.
+            call.received_at -= min(self.stalled_for, longest - event.timeout)
         self.timers[self.next_token] = event.call
         self.actions.append(i.StartTimer(call.deadline, self.next_token))
         self.next_token += 1
         self.queued[call.id] = call
         self.constraints.attempt_wanted(call_class.name, False, call_class.priority_weight)
-        if call.weight > self.queued_weight:  # else those queued before it go first, within a sweep
+        if call.weight > self.max_blocked_weight:  # else queued calls go first, within a sweep
             self._try(now, call)
         self._stack(now, call)
 
     def _attempt_event(self, now: float, event: i.AttemptEvent) -> None:
-        """The attempt was answered, or ended: what becomes of its call."""
+        """Handles an answered or ended attempt: the call is finished, retried or given up."""
         endpoints.record_attempt_event(self, now, event)
         call, outcome = self.calls.get(event.call), event.outcome
         self.limits.record_attempt_event(now, event, call.request if call else None)
         if call is None or call.gate is None or event.attempt != call.attempts - 1:
             return
         for gate in call.failed_gates if outcome is None else ():
-            endpoints.fault(self, gate)  # the call was good: it was they that failed
+            endpoints.count_failure(self, gate)  # the call is valid, so the endpoint was at fault
         if outcome is None or event.call_over:
             self._forget(event.call)
             return
         if outcome is i.Outcome.ERROR and not event.callee_busy:
             call.failed_gates.append(call.gate)
-        call.max_attempts = 0 if event.callee_busy else call.max_attempts  # it is busy at every endpoint
+        call.max_attempts = 0 if event.callee_busy else call.max_attempts  # busy at every endpoint
         call.gate, call.cancelling = None, False
         if outcome in i.DELAYS_RETRY:
             call.ready_at = now + self.settings.retry_delay
@@ -127,7 +128,10 @@
                     self.actions.append(i.CancelAttempt(call.id, call.attempts - 1))
 
     def _stuck(self, now: float, call: Call, gate: Gate) -> bool:
-        """Whether its attempt is lost, or silent until there is just time to go elsewhere."""
+        """Whether the call should move to another endpoint, as its attempt is lost or unanswered.
+
+        An unanswered attempt is cancelled at the last moment that leaves time for another endpoint.
+        """
         sent_at = gate.in_flight.get((call.id, call.attempts - 1), now)
         objective = call.call_class.latency_objective * (1 - ANSWER_RESERVE)
         remaining = call.received_at + objective - self.settings.retry_delay - now
@@ -141,33 +145,34 @@
         return any(g.is_open(now, limit) for g in gates if lost or g is not gate)
 
     def _serve_queue(self, now: float) -> None:
-        """Sends what may go, highest weight first; gives up what can no longer meet its objective."""
-        self.queued_weight, self.served_at = -1.0, now
-        waiting, self.delayed = self.delayed, []
+        """Sends the queued calls that find an open gate, highest weight first; gives up those out of time."""
+        self.max_blocked_weight, self.served_at = -1.0, now
+        to_stack, self.delayed = self.delayed, []
         sweep = now >= self.swept_at + min(SWEEP_INTERVAL, len(self.queued) / 20)
-        if sweep:  # of a thousand queued calls, all only once an interval; of few at every tick
+        if sweep:  # a thousand queued calls are swept only once per interval, a few at every tick
             self.swept_at, self.stacks = now, {}
-            waiting = sorted(reversed(self.queued.values()), key=lambda call: call.received_at)
-        for call in waiting:
+            to_stack = sorted(reversed(self.queued.values()), key=lambda call: call.received_at)
+        for call in to_stack:
             self._stack(now, call)
-        kinds = [kind for kind, stack in self.stacks.items() if stack]
-        while kinds:  # the newest call of the kind of highest weight; a kind that finds no open gate is done
-            kind = max(kinds, key=lambda k: (k[1], self.stacks[k][-1].received_at))
-            stack, call = self.stacks[kind], self.stacks[kind][-1]
+        keys = [key for key, stack in self.stacks.items() if stack]
+        # Tries the newest call of the stack of highest weight. A stack that finds no open gate is done.
+        while keys:
+            key = max(keys, key=lambda k: (k[1], self.stacks[k][-1].received_at))
+            stack, call = self.stacks[key], self.stacks[key][-1]
             if self.queued.get(call.id) is not call or now < call.ready_at or self._try(now, call):
                 stack.pop()
             if not stack or (stack[-1] is call and call.id in self.queued):
-                kinds.remove(kind)
+                keys.remove(key)
         for call in [c for c in self.queued.values() if c.ready_at <= now >= c.give_up_at] if sweep else ():
             self._try(now, call, may_send=False)
 
     def _stack(self, now: float, call: Call) -> None:
         if call.id in self.queued:
-            stack = self.stacks.setdefault(call.kind, []) if now >= call.ready_at else self.delayed
+            stack = self.stacks.setdefault(call.stack_key, []) if now >= call.ready_at else self.delayed
             stack.append(call)
 
     def _try(self, now: float, call: Call, may_send: bool = True) -> bool:
-        """Sends the call, or gives it up if it has no attempt or time left; false: no gate was open to it."""
+        """Sends the call, or gives it up if no attempt or time is left; returns False if no gate was open."""
         if self._exhausted(call):
             self._give_up(call)
             return True
@@ -178,13 +183,13 @@
         if gate is not None:
             self._send(now, call, gate)
         elif ready and now >= call.give_up_at:
-            self._give_up(call)  # queued while every gate is closed: waiting here costs them no repeats
+            self._give_up(call)  # it waited here, as waiting at an endpoint causes retransmissions
         elif ready:
-            self.queued_weight = max(self.queued_weight, call.weight)
+            self.max_blocked_weight = max(self.max_blocked_weight, call.weight)
         return gate is not None
 
     def _exhausted(self, call: Call) -> bool:
-        """Whether a retry could do harm, or no endpoint is left for it within the shared quotas."""
+        """Whether no attempt is allowed any more, or the shared quotas leave no endpoint for a retry."""
         if call.attempts >= call.max_attempts or call.unsafe or len(call.failed_gates) > MAX_FAILED_GATES:
             return True
         limited = call.failed_gates or self.constraints is not i.UNLIMITED
@@ -199,8 +204,10 @@
         self.actions.append(i.SendAttempt(call.id, gate.server))
 
     def _give_up(self, call: Call, late: bool = False) -> None:
-        fails = call.unsafe or (late and (call.may_have_run or call.gate is not None))  # unsent: rejected
-        self.actions.append(i.Fail(call.id) if fails else i.Reject(call.id, self.settings.retry_after))
+        failed = call.unsafe or (
+            late and (call.may_have_run or call.gate is not None)
+        )  # never sent: rejected
+        self.actions.append(i.Fail(call.id) if failed else i.Reject(call.id, self.settings.retry_after))
         self._forget(call.id)
 
     def _forget(self, call_id: str) -> None:
--- a/softswitch/policy/endpoints.py
+++ b/softswitch/policy/endpoints.py
@@ -1,47 +1,47 @@
-"""What is known of endpoints, this softswitch's part of what they can do, and which one a call may go to."""
+"""Tracks the endpoints, this softswitch's fraction of their capacity, and selects an endpoint for a call."""
 
 from math import exp, sqrt
 
 from softswitch import interface as i
 from softswitch.policy.state import EJECTION_FAILURES, LONG_AGO, OVERLOADED_FOR, Call, Gate, State
 
-MIN_WAIT, MAX_WAIT = 0.08, 0.15  # share of the objective that calls may wait at an endpoint, by weight
+MIN_WAIT, MAX_WAIT = 0.08, 0.15  # fractions of the objective that calls may wait at an endpoint, by weight
 PROBE_INTERVAL = 1000.0  # ms between probes of a closed gate
-PROBE_SHARE = 0.2  # the probes of all softswitches, as a share of the endpoint's capacity
-FEW_WAITING = 3.0  # so many call setups waiting at an endpoint are no overload
-HEADROOM = 1.25  # what an overloaded endpoint may get, times its known capacity
-SLOW_START_SAFETY = 0.85  # share of the slow start budget that is used: estimates are rough
-SLOW_START_LAPSE = 0.25  # share of overload_window after which an unused slow start turn lapses
-MIN_USED = 0.1  # share of its circuits that an endpoint surely fills, when none was seen at work
-KEPT_REMOVED = 8  # removed endpoints kept: what their cells bore tells of who took their place
+PROBE_SHARE = 0.2  # the probes of all softswitches, as a fraction of the endpoint's capacity
+TOLERATED_QUEUE = 3.0  # this many call setups waiting at an endpoint are no overload
+HEADROOM = 1.25  # rate of call setups to an overloaded endpoint, as a multiple of its known capacity
+SLOW_START_SAFETY = 0.85  # fraction of the slow start budget that is used: the estimates are rough
+SLOW_START_LIFETIME = 0.25  # fraction of overload_window after which an unused slow start permit expires
+MIN_USED = 0.1  # fraction of its circuits that an endpoint can fill, as long as no circuits in use were seen
+MAX_REMOVED_GATES = 8  # retained: the circuits used in their cell indicate the capacity of a replacement
 
 
-def fault(state: State, gate: Gate) -> None:
-    """Counts a fault; enough of them eject the endpoint."""
+def count_failure(state: State, gate: Gate) -> None:
+    """Counts a failure; enough of them eject the endpoint."""
     gate.failures += 1
     if EJECTION_FAILURES <= gate.failures < EJECTION_FAILURES + 1:
         state.actions.append(i.WriteLog(f"endpoint {gate.server} ejected: fails or is silent, probes only"))
 
 
 def record_attempt_event(state: State, now: float, event: i.AttemptEvent) -> None:
-    """An attempt was answered there, or it or an established call ended."""
+    """Updates the gate after an attempt was answered, or an attempt or established call ended."""
     gate, outcome = state.gates.get(event.server), event.outcome
     if gate is None:
         return
     load_reported(state, now, event)
-    sent_at = gate.in_flight.pop((event.call, event.attempt), None)  # None: it was established before
+    sent_at = gate.in_flight.pop((event.call, event.attempt), None)  # None: the call was established before
     gate.established = max(0, gate.established + (outcome is None) - (sent_at is None))
     if outcome in (i.Outcome.RESET, i.Outcome.CONNECT_FAILED):
         if gate.state is i.EndpointState.READY and gate.connection_failed_at < now:
-            gate.failures += 1  # once: a connection that ends takes all attempts on it along
+            gate.failures += 1  # once: a lost connection ends all its attempts at the same time
         gate.connection_failed_at = now
         if gate.failures >= EJECTION_FAILURES and outcome is i.Outcome.CONNECT_FAILED:
-            enter_slow_start(state, gate, now)  # the process died: it may be back before the list says so
-            gate.failures = 0.0  # its turns are probes enough
+            enter_slow_start(state, gate, now)  # the process died: it may restart before the list shows it
+            gate.failures = 0.0  # slow start sends few calls, which serve as probes
     elif outcome in (i.Outcome.TIMEOUT, i.Outcome.CANCELLED):
         if sent_at is not None and gate.answered_at < sent_at:
             gate.observe(now, max(gate.estimate.delay, now - sent_at))
-            fault(state, gate)
+            count_failure(state, gate)
     elif outcome is not i.Outcome.NOT_SENT:
         _answered(state, now, gate, sent_at, event)
 
@@ -50,7 +50,7 @@
     if gate.answered_at > LONG_AGO:
         gate.answer_interval += (now - gate.answered_at - gate.answer_interval) / 5
     gate.answered_at = now
-    if gate.circuits_reported_at == LONG_AGO:  # all softswitches are taken to have as many calls
+    if gate.circuits_reported_at == LONG_AGO:  # assumes that all softswitches have as many calls
         used = gate.established * state.settings.fleet_size
         gate.max_used_circuits = max(0.98 * gate.max_used_circuits, used)
     if sent_at is None:
@@ -59,19 +59,20 @@
     gate.fastest_answer = min(gate.fastest_answer or delay, delay)
     gate.newest_answered = max(gate.newest_answered, sent_at)
     if outcome is i.Outcome.REJECTED and event.processor_full:
-        gate.observe(now, max(delay, state.max_objective))  # a wait longer than any objective
+        gate.observe(now, max(delay, state.max_objective))  # counts as a wait longer than any objective
         gate.estimate.delay, gate.estimate.in_flight = max(gate.estimate.delay, state.max_objective), 0.0
         gate.closed_until = now + event.retry_after
     elif outcome is i.Outcome.REJECTED:
         gate.free_circuits = 0.0
     elif outcome is not i.Outcome.ERROR:
         gate.failures /= 2
-        if not state.stalled_for or delay > gate.expected_wait(now):  # else it may have waited here, unread
+        # After a stall, the answer may have waited unread in this process.
+        if not state.stalled_for or delay > gate.expected_wait(now):
             gate.observe(now, delay)
 
 
 def endpoints_changed(state: State, now: float, event: i.EndpointsChanged) -> None:
-    """The endpoint list, or a part of it, is this now."""
+    """Applies an update of the endpoint list."""
     if event.kind is i.UpdateKind.FAILED:
         state.actions.append(i.SubscribeEndpoints())
         return
@@ -89,12 +90,12 @@
         if restarted and e.started_at and now - e.started_at < state.settings.warm_up:
             enter_slow_start(state, gate, e.started_at)
     removed = [s for s, g in state.gates.items() if g.state is i.EndpointState.REMOVED and not g.in_flight]
-    for server in removed[:-KEPT_REMOVED]:
+    for server in removed[:-MAX_REMOVED_GATES]:
         del state.gates[server]
 
 
 def load_reported(state: State, now: float, event: i.LoadReported | i.AttemptEvent) -> None:
-    """A load report came unasked, or with the end of an attempt."""
+    """Records a load report, unsolicited or received with the end of an attempt."""
     gate, report = (
         state.gates.get(event.server),
         i.LoadReport.from_values(state.settings.report_fields, event.report),
@@ -105,13 +106,18 @@
         used = gate.circuits - gate.free_circuits
         age = min(now - gate.circuits_reported_at, state.holding_time)
         freed, expected = report.free_circuits - gate.free_circuits, used * age / state.holding_time
-        unasked = isinstance(event, i.LoadReported) and gate.state is i.EndpointState.READY
-        if unasked and used > 0 and freed > 3 * (expected + sqrt(used)) and len(same_cell(state, gate)) == 1:
-            enter_slow_start(state, gate, now)  # so many calls ended at once: it was down
+        unsolicited = isinstance(event, i.LoadReported) and gate.state is i.EndpointState.READY
+        if (
+            unsolicited
+            and used > 0
+            and freed > 3 * (expected + sqrt(used))
+            and len(gates_of_cell(state, gate)) == 1
+        ):
+            enter_slow_start(state, gate, now)  # far more calls ended than expected: the endpoint was down
         gate.circuits, gate.free_circuits = report.circuits, report.free_circuits
         gate.circuits_reported_at = now
-        faded = gate.max_used_circuits * exp(-age / (2 * state.holding_time))
-        gate.max_used_circuits = max(gate.circuits - gate.free_circuits, faded)
+        decayed = gate.max_used_circuits * exp(-age / (2 * state.holding_time))
+        gate.max_used_circuits = max(gate.circuits - gate.free_circuits, decayed)
     wait = report.wait
     if report.rate >= 0:
         since = max(gate.estimate.reported_at, now - state.window)
@@ -125,57 +131,67 @@
             gate.overloaded_until = now + OVERLOADED_FOR * state.window
 
 
-def same_cell(state: State, gate: Gate) -> list[Gate]:
-    """The endpoint, and one that it replaces or that replaces it: they share circuits."""
+def gates_of_cell(state: State, gate: Gate) -> list[Gate]:
+    """The gates of the endpoint, its predecessor and its successor, which share the circuits of the cell."""
     return [g for g in state.gates.values() if g.cell == gate.cell]
 
 
-def enter_slow_start(state: State, gate: Gate, since: float) -> None:
-    """The endpoint warms up since that time."""
+def enter_slow_start(state: State, gate: Gate, started_at: float) -> None:
+    """Starts slow start of an endpoint that has been warming up since `started_at`."""
     if gate.slow_start_at is None:
         state.actions.append(i.WriteLog(f"endpoint {gate.server} entered slow start"))
-    gate.slow_start_at = since
+    gate.slow_start_at = started_at
 
 
 def capacity(state: State, now: float, gate: Gate) -> float:
-    """Call setups per ms when warm: what its cell was seen to bear, or as the warm endpoints do."""
+    """Call setups per ms when warm, from the circuits seen in use in its cell or at the warm endpoints."""
     if now - gate.capacity_at > state.window / 2:
         ready = [g for g in state.gates.values() if g.state is i.EndpointState.READY]
-        warm = [g for g in ready if g.slow_start_at is None and g.max_used_circuits > 0]
-        used = sum(g.max_used_circuits for g in warm) / max(1.0, sum(g.circuits for g in warm))
-        seen = max(g.max_used_circuits for g in same_cell(state, gate))
-        circuits = max(seen, gate.circuits * max(MIN_USED, used))
+        warm_gates = [g for g in ready if g.slow_start_at is None and g.max_used_circuits > 0]
+        used = sum(g.max_used_circuits for g in warm_gates) / max(1.0, sum(g.circuits for g in warm_gates))
+        seen_used = max(g.max_used_circuits for g in gates_of_cell(state, gate))
+        circuits = max(seen_used, gate.circuits * max(MIN_USED, used))
         gate.capacity, gate.capacity_at = max(circuits / state.holding_time, 1 / PROBE_INTERVAL), now
-        few = FEW_WAITING / (gate.capacity * MIN_WAIT * state.max_objective)
-        gate.tolerated_wait = MIN_WAIT * state.max_objective * max(1.0, min(4.0, few))
+        tolerated = TOLERATED_QUEUE / (gate.capacity * MIN_WAIT * state.max_objective)
+        gate.tolerated_wait = MIN_WAIT * state.max_objective * max(1.0, min(4.0, tolerated))
     return gate.capacity
 
 
 def call_share(state: State, now: float) -> float:
-    """This softswitch's share of all calls, half by head, half by established calls; over all it is one."""
+    """This softswitch's fraction of all calls; the fractions of all softswitches add up to 1.
+
+    It is the mean of an equal share per softswitch and of its share of the established calls.
+    """
     if now - state.call_share_at > state.window / 2:
-        gates, by_head = state.gates.values(), 1 / state.settings.fleet_size
+        gates, equal_share = state.gates.values(), 1 / state.settings.fleet_size
         used = {g.cell: g.circuits - g.free_circuits for g in gates if g.circuits_reported_at > LONG_AGO}
         total, own = sum(used.values()), sum(g.established for g in gates)
-        by_calls = min(1.0, own / total) if total > 0 else by_head
-        state.call_share, state.call_share_at = (by_head + by_calls) / 2, now
+        by_calls = min(1.0, own / total) if total > 0 else equal_share
+        state.call_share, state.call_share_at = (equal_share + by_calls) / 2, now
     return state.call_share
 
 
 def probe_due(state: State, now: float, gate: Gate) -> bool:
-    """One probe a second, or fewer where those of all softswitches would be more than a small share."""
+    """Whether a closed gate may be probed: once per PROBE_INTERVAL.
+
+    The interval is longer where the probes of all softswitches would exceed PROBE_SHARE of the capacity.
+    """
     if now < gate.closed_until or (gate.failures >= EJECTION_FAILURES and gate.queued()):
         return False
     share = state.constraints.share(i.SHARED_PROBES, gate.server, 1 / state.settings.fleet_size)
     interval = max(PROBE_INTERVAL, 1 / max(1e-9, share * PROBE_SHARE * capacity(state, now, gate)))
-    if now - gate.probed_at > 2 * interval > 2 * PROBE_INTERVAL:  # drawn, or all would probe at once
+    if now - gate.probed_at > 2 * interval > 2 * PROBE_INTERVAL:  # random: not all probe at once
         gate.probed_at = now - interval * state.random.random()
     return now - gate.probed_at >= interval
 
 
-def has_turn(state: State, now: float, gate: Gate) -> bool:
-    """An endpoint short of circuits, overloaded or in slow start gets this softswitch's share alone."""
-    settings, bears, share = state.settings, capacity(state, now, gate), call_share(state, now)
+def pacing_allows(state: State, now: float, gate: Gate) -> bool:
+    """Whether a call may be sent now; always, unless the endpoint is paced.
+
+    An endpoint that is short of circuits, overloaded or in slow start is paced: this softswitch sends
+    only its fraction of the calls that the endpoint can take.
+    """
+    settings, warm_rate, share = state.settings, capacity(state, now, gate), call_share(state, now)
     if gate.slow_start_at is not None and now >= (warm_at := gate.slow_start_at + settings.warm_up):
         gate.overloaded_until = max(gate.overloaded_until, warm_at + OVERLOADED_FOR * state.window)
         gate.slow_start_at = None
@@ -185,26 +201,28 @@
         return True
     used = gate.circuits - gate.free_circuits
     rate = used / state.holding_time + gate.free_circuits / state.window if short else 1e9
-    rate = min(rate, HEADROOM * max(gate.max_rate / 1000, bears)) if overloaded else rate
-    lapse = 2 / (share * max(rate, 1e-9))
+    rate = min(rate, HEADROOM * max(gate.max_rate / 1000, warm_rate)) if overloaded else rate
+    lifetime = 2 / (share * max(rate, 1e-9))
     if gate.slow_start_at is not None:
-        # All softswitches send within overload_window what comes due in that time and the lapse.
+        # Within one overload_window, the softswitches can use the permits issued in it, and those issued up
+        # to one lifetime before it.
         level = settings.initial_capacity ** (1 - (now - gate.slow_start_at) / settings.warm_up)
-        budget = settings.overload_factor * SLOW_START_SAFETY / (1 + SLOW_START_LAPSE)
-        rate, lapse = min(rate, budget * level * bears), settings.overload_window * SLOW_START_LAPSE
+        budget = settings.overload_factor * SLOW_START_SAFETY / (1 + SLOW_START_LIFETIME)
+        rate, lifetime = min(rate, budget * level * warm_rate), settings.overload_window * SLOW_START_LIFETIME
         share = state.constraints.share(i.SHARED_SLOW_START, gate.server, share * settings.slow_start_share)
-    return gate.pacer.available(now, rate * share, lapse, state.random.random()) >= 1
+    return gate.pacer.available(now, rate * share, lifetime, state.random.random()) >= 1
 
 
 def wait_limit(state: State, call: Call) -> float:
-    """Ms that the call may wait at an endpoint: less weight, less of the objective."""
+    """Ms that the call may wait at an endpoint; a lower weight allows a smaller fraction of the objective."""
     objective = call.call_class.latency_objective
-    low = min(objective * MIN_WAIT, state.settings.retransmit_after or 1e9)  # past a repeat it is work twice
+    # The lowest limit is below the time of a retransmission, which doubles the work.
+    low = min(objective * MIN_WAIT, state.settings.retransmit_after or 1e9)
     return low + (objective * MAX_WAIT - low) * call.weight / state.max_weight
 
 
 def eligible(state: State, call: Call) -> list[Gate]:
-    """The gates of ready endpoints that can take the call."""
+    """The gates of ready endpoints that accept the call."""
     own, cells, ready = state.settings.own_cell, call.call_class.cells, i.EndpointState.READY
     gates = [g for g in state.gates.values() if g.state is ready and g not in call.failed_gates]
     gates = [g for g in gates if cells is None or g.cell in cells]
@@ -213,21 +231,33 @@
 
 
 def within_quota(state: State, call: Call) -> list[Gate]:
-    """Those of them where what is shared with other softswitches lets an attempt go now."""
+    """The eligible gates to which the shared quotas allow an attempt now."""
     gates, may_attempt = eligible(state, call), state.constraints.may_attempt
     return [g for g in gates if may_attempt(call.call_class.name, g.server, call.attempts > 0)]
 
 
 def choose(state: State, now: float, call: Call) -> Gate | None:
-    """The destination's gate if it is open, else the better of two random open ones; or one to probe."""
+    """Selects the gate for the next attempt; None: no gate is open or due for a probe.
+
+    A gate that is due for a probe comes first, then the destination's gate if it is open, then the better of
+    two random open gates.
+    """
     limit, circuits = wait_limit(state, call), call.request.circuits
-    able = [g for g in within_quota(state, call) if g.circuits >= circuits and has_turn(state, now, g)]
-    opened = [g for g in able if g.is_open(now, limit)]
-    direct = next((g for g in able if g.cell == call.request.destination_cell), None)
-    due = [g for g in able if g not in opened and probe_due(state, now, g)]
-    spare = not opened or call.weight < state.max_weight  # calls of the highest weight go where it is safe
-    light = call.weight <= state.min_weight  # they probe what was ejected: it reopens by a probe alone
-    probes = [g for g in due if (g is direct and spare) or (g.failures >= EJECTION_FAILURES and light)]
+    candidates = [
+        g for g in within_quota(state, call) if g.circuits >= circuits and pacing_allows(state, now, g)
+    ]
+    opened = [g for g in candidates if g.is_open(now, limit)]
+    direct = next((g for g in candidates if g.cell == call.request.destination_cell), None)
+    due = [g for g in candidates if g not in opened and probe_due(state, now, g)]
+    # Calls of the highest weight probe the destination only if no gate is open.
+    probe_direct = not opened or call.weight < state.max_weight
+    # Calls of the lowest weight probe ejected endpoints, which reopen only after a probe.
+    probe_ejected = call.weight <= state.min_weight
+    probes = [
+        g
+        for g in due
+        if (g is direct and probe_direct) or (g.failures >= EJECTION_FAILURES and probe_ejected)
+    ]
     if probes:
         gate = direct if direct in probes else state.random.choice(probes)
         gate.probed_at = now
