--- a/softswitch/settings.py
+++ b/softswitch/settings.py
@@ -1,8 +1,8 @@
-"""Reads the settings JSON into `interface.Settings`, for the simulator's adapter and the softswitch alike.
+"""Parses the settings JSON into `interface.Settings`, for the simulator adapter and the softswitch.
 
-The simulator hands the object to an instance in its first message; a softswitch has it in its configuration
-and checks it strictly before anything of it is taken. Unknown keys are skipped. The keys are those of the
-operators' pages; `interface.Settings` gives them the names that are used everywhere else.
+The simulator passes the object to an instance in its first message. A softswitch reads it from its
+configuration and validates it completely before it applies any of it. Unknown keys are ignored. The keys are
+those of the operators' pages; the rest of the code uses the names of `interface.Settings`.
 """
 
 from __future__ import annotations
@@ -14,8 +14,9 @@
 
 from softswitch import interface as i
 
-Json = Any  # a value as `orjson.loads` gives it; checked before it is used
+Json = Any  # a value returned by `orjson.loads`; validated before use
 
+# Fields of load reports: name on the wire -> name in `interface.LoadReport.from_values`.
 REPORT_FIELDS = {
     "spare": "free",
     "total": "size",
@@ -25,20 +26,20 @@
     "x0": "free",
     "x1": "size",
 }
-UNKNOWN = -1.0  # a value of a load report that was not given
+UNKNOWN = -1.0  # value of a field that a load report omits
 
 
 class SettingsError(ValueError):
-    """Settings that can't be taken; the text names the key and says what is wanted."""
+    """The settings are invalid; the message names the key and the expected value."""
 
 
 def parse_settings(info: dict[str, Json]) -> i.Settings:
-    """The settings of an object that is in order; `check_settings` looks first."""
+    """Parses a valid settings object; `check_settings` validates first."""
     family = info.get("family_info") or {}
     limits = info.get("limits") or {}
     rules = info.get("rules") or {}
     stats = info.get("stats") or {}
-    advises = bool(limits.get("retry_after"))
+    sends_retry_after = bool(limits.get("retry_after"))
     return i.Settings(
         classes=_parse_classes(info["lanes"], family),
         fleet_size=info.get("fleet_size", 1),
@@ -47,8 +48,8 @@
         may_cancel=bool(limits.get("may_cancel")),
         may_message_peers=bool(limits.get("peers")),
         may_probe=bool(limits.get("probes")),
-        may_send_retry_after=advises,
-        max_retry_after=limits.get("max_retry_after", 0.0) if advises else 0.0,
+        may_send_retry_after=sends_retry_after,
+        max_retry_after=limits.get("max_retry_after", 0.0) if sends_retry_after else 0.0,
         max_attempts=limits.get("send_cap", 1),
         list_pushed=info.get("registry_mode", "automatic") == "automatic",
         retry_delay=family.get("clear_wait", 0.0),
@@ -62,14 +63,14 @@
         tenants=tuple(
             i.Tenant(account["name"], account["quota_per_s"])
             for account in info.get("accounts") or []
-            if "quota_per_s" in account  # else it has no limit
+            if "quota_per_s" in account  # a tenant without a quota is not limited
         ),
         over_quota_weight=info.get("over_share_worth", 1.0),
     )
 
 
 def _parse_classes(lanes: list[dict[str, Json]], family: dict[str, Json]) -> tuple[i.CallClass, ...]:
-    """One class for each lane; what the family tells of a class stands at its place in a list."""
+    """Parses one class per lane; lists in `family` hold one value per lane, in the same order."""
     grouped = family.get("network_form") == "groups"
     cells = (family.get("skilled_pools") or []) if grouped else []
     holding_times = family.get("holding") or []
@@ -90,10 +91,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """What a key of the settings has to be."""
+    """Validation of one key of the settings."""
 
     is_valid: Callable[[Json], bool]
-    wanted: str  # for the error
+    expected: str  # valid values, for the error message
     required: bool = False
 
 
@@ -117,9 +118,9 @@
 
 POSITIVE = Key(lambda v: _is_number(v) and v > 0, "a positive number")
 DURATION = Key(lambda v: _is_number(v) and v >= 0, "a number of ms, 0 or more")
-WEIGHT = Key(DURATION.is_valid, "a worth, 0 or more")
+WEIGHT = Key(DURATION.is_valid, "a weight, 0 or more")
 SHARE = Key(lambda v: _is_number(v) and 0 <= v <= 1, "a number from 0 to 1")
-POSITIVE_SHARE = Key(lambda v: _is_number(v) and 0 < v <= 1, "a number over 0, 1 at most")
+POSITIVE_SHARE = Key(lambda v: _is_number(v) and 0 < v <= 1, "a number above 0, at most 1")
 COUNT = Key(lambda v: _is_integer(v) and v >= 1, "a whole number, 1 or more")
 INTEGER = Key(_is_integer, "a whole number")
 FLAG = Key(lambda v: isinstance(v, bool), "true or false")
@@ -129,18 +130,18 @@
 TEXTS = Key(_is_list_of(lambda v: isinstance(v, str)), "a list of texts")
 
 LANE_KEYS = {
-    "name": Key(TEXT.is_valid, TEXT.wanted, required=True),
-    "aim": Key(POSITIVE.is_valid, POSITIVE.wanted, required=True),
+    "name": Key(TEXT.is_valid, TEXT.expected, required=True),
+    "aim": Key(POSITIVE.is_valid, POSITIVE.expected, required=True),
     "hard_limit": POSITIVE,
     "credit": WEIGHT,
     "late_value": SHARE,
     "idempotency": TEXT,
 }
 ACCOUNT_KEYS = {
-    "name": Key(TEXT.is_valid, TEXT.wanted, required=True),
-    "quota_per_s": Key(DURATION.is_valid, "calls a second, 0 or more"),
+    "name": Key(TEXT.is_valid, TEXT.expected, required=True),
+    "quota_per_s": Key(DURATION.is_valid, "a number of calls per second, 0 or more"),
 }
-# The keys of each object within the settings; "": of the settings themselves.
+# The keys of each object within the settings; "" stands for the settings object itself.
 OBJECT_KEYS = {
     "": {"fleet_size": COUNT, "registry_mode": TEXT, "tick": POSITIVE, "over_share_worth": SHARE},
     "limits": {
@@ -172,17 +173,17 @@
 
 def _check_object(value: Json, keys: dict[str, Key], path: str) -> None:
     if not isinstance(value, dict):
-        raise SettingsError(f"{path}: an object is wanted")
+        raise SettingsError(f"{path}: an object is required")
     for name, key in keys.items():
         if name not in value:
             if key.required:
-                raise SettingsError(f"{path}.{name} is missing: {key.wanted} is wanted")
+                raise SettingsError(f"{path}.{name} is missing: {key.expected} is required")
         elif not key.is_valid(value[name]):
-            raise SettingsError(f"{path}.{name}: {value[name]!r:.40} is not {key.wanted}")
+            raise SettingsError(f"{path}.{name}: {value[name]!r:.40} is not {key.expected}")
 
 
 def _check_complete(new: Json, old: Json, path: str) -> None:
-    """Every key that `old` has must be in `new`, down to the keys of each class."""
+    """Requires every key of `old` in `new`, including the keys of nested objects and of each class."""
     if isinstance(old, dict):
         for key, value in old.items():
             if not isinstance(new, dict) or key not in new:
@@ -193,9 +194,9 @@
             _check_complete(item, old[0], f"{path}[{n}]")
 
 
-def _check_named(objects: Json, keys: dict[str, Key], path: str) -> None:
+def _check_named_objects(objects: Json, keys: dict[str, Key], path: str) -> None:
     if not isinstance(objects, list):
-        raise SettingsError(f"{path}: a list is wanted")
+        raise SettingsError(f"{path}: a list is required")
     names: set[str] = set()
     for n, item in enumerate(objects):
         _check_object(item, keys, f"{path}[{n}]")
@@ -206,20 +207,20 @@
 
 def _check_lanes(lanes: Json) -> None:
     if not isinstance(lanes, list) or not lanes:
-        raise SettingsError("settings.lanes: a list with one class at least is wanted")
-    _check_named(lanes, LANE_KEYS, "settings.lanes")
+        raise SettingsError("settings.lanes: a list with at least one class is required")
+    _check_named_objects(lanes, LANE_KEYS, "settings.lanes")
 
 
 def check_settings(info: Json, running: Json = None) -> i.Settings:
-    """The settings, every figure of them looked at first; SettingsError names the first key that is wrong.
+    """Validates and parses the settings; SettingsError names the first invalid key.
 
-    `running`: the settings in force, as they were read. A file that lacks a key of theirs is not complete.
+    `running`: the settings JSON in force. New settings that lack one of its keys are rejected as incomplete.
     """
     _check_object(info, {}, "settings")
     if running is not None:
         _check_complete(info, running, "settings")
     _check_lanes(info.get("lanes"))
-    _check_named(info.get("accounts") or [], ACCOUNT_KEYS, "settings.accounts")
+    _check_named_objects(info.get("accounts") or [], ACCOUNT_KEYS, "settings.accounts")
     for name, keys in OBJECT_KEYS.items():
         if not name:
             _check_object(info, keys, "settings")
@@ -229,10 +230,10 @@
 
 
 def parse_report(settings: i.Settings, text: str) -> tuple[float, ...]:
-    """A load report as a quote engine writes it (`x0:12;x1:40`), in the order of report_fields."""
+    """Parses a load report of a quote engine (`x0:12;x1:40`); the values are ordered as report_fields."""
     values = {}
-    for part in text.split(";"):
-        name, _, value = part.partition(":")
+    for field in text.split(";"):
+        name, _, value = field.partition(":")
         try:
             values[REPORT_FIELDS.get(name, name)] = float(value)
         except ValueError:
@@ -240,8 +241,8 @@
     return tuple(values.get(name, UNKNOWN) for name in settings.report_fields)
 
 
-# Field names as the digest of the settings has had them from its first format on, so that softswitches of two
-# versions which have the same settings tell the same digest.
+# Field names in the digest of the settings. They stay as in its first format, so that different versions
+# of the softswitch report the same digest for the same settings.
 DIGEST_NAMES = {
     "latency_objective": "aim",
     "priority_weight": "worth",
@@ -259,17 +260,19 @@
     "slow_start_share": "part",
 }
 
-NEWER = ("tenants", "over_quota_weight")  # left out of the digest where the settings do not have them
+NEWER_FIELDS = ("tenants", "over_quota_weight")  # omitted from the digest while they have their defaults
 
 
 def canonical_text(value: object) -> str:
-    """The settings as one text, the same in every version for the same settings."""
+    """Serializes the settings for the digest; the text is the same in every version for the same settings."""
     if isinstance(value, tuple):
         items = ", ".join(map(canonical_text, value))
         return f"({items},)" if len(value) == 1 else f"({items})"
     if isinstance(value, i.Settings | i.CallClass | i.Tenant):
-        known = [f for f in fields(value) if f.name not in NEWER or getattr(value, f.name) != f.default]
-        named = ((f.name, canonical_text(getattr(value, f.name))) for f in known)
+        included = [
+            f for f in fields(value) if f.name not in NEWER_FIELDS or getattr(value, f.name) != f.default
+        ]
+        named = ((f.name, canonical_text(getattr(value, f.name))) for f in included)
         texts = (f"{DIGEST_NAMES.get(name, name)}={text}" for name, text in named)
         return f"{type(value).__name__}({', '.join(texts)})"
     return repr(value)
--- a/softswitch/simulator_adapter.py
+++ b/softswitch/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""Puts the decision module on the simulator's wire: names to types and back, nothing decided here.
+"""Connects the decision module to the simulator: converts messages to events, and actions to messages.
 
-One JSON value a line on standard input and output; one reply to each batch. Unknown keys are skipped. The
-names of fields and values are those of the simulator's wire.
+The protocol has one JSON object per line on standard input and output, and one reply to each batch. Unknown
+keys are ignored. The names of fields and values are defined by the simulator.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from softswitch.policy.controller import Controller
 from softswitch.settings import parse_settings
 
-Message = dict[str, Any]  # one JSON object of the wire
-Decision = Callable[[], list[i.Action]]  # an event that was read, and is now to be decided on
+Message = dict[str, Any]  # one JSON object of the protocol
+Decision = Callable[[], list[i.Action]]  # passes a parsed event to the decision module
 
 OUTCOMES = {
     1: i.Outcome.OK,
@@ -42,7 +42,7 @@
     "stale_copy": i.UpdateKind.STALE,
     "broken": i.UpdateKind.FAILED,
 }
-# An answer's `reason`: one of these in the low four bits, and a wait in ms in the rest.
+# An answer's `reason` has one of these in the low four bits, and a retry-after time in ms in the others.
 REASON_BASE = 16
 PROCESSOR_FULL = 3
 NUMBER_BUSY = 4
@@ -50,7 +50,7 @@
 
 
 class WireError(Exception):
-    """A line of the wire that cannot be right."""
+    """An input line that is invalid."""
 
 
 def _report(message: Message) -> tuple[float, ...]:
@@ -135,15 +135,15 @@
 
 
 class Adapter:
-    """Hosts the instances of one process; they share nothing but the numbered endpoint lists of the wire."""
+    """Hosts the instances of one process; they share only the numbered endpoint lists of the protocol."""
 
     def __init__(self) -> None:
-        self.controllers: dict[int, Controller] = {}  # by the number of the instance
+        self.controllers: dict[int, Controller] = {}  # by instance number
         self.endpoint_lists: dict[int, tuple[i.Endpoint, ...]] = {}
         self.clock: float | None = None
 
     def handle_line(self, text: str) -> list[str]:
-        """Takes one line of the wire and returns the lines to write."""
+        """Handles one input line and returns the output lines."""
         message = self._parse(text)
         verb = message["verb"]
         try:
@@ -156,10 +156,10 @@
                 return [END_OF_BATCH]
             decide = self._read(verb, message, self.clock)
         except KeyError as e:
-            raise WireError(f"{verb}: field missing or value unknown: {e.args[0]!r}") from None
+            raise WireError(f"{verb}: missing field or unknown value: {e.args[0]!r}") from None
         except (TypeError, ValueError, AttributeError) as e:
             raise WireError(f"{verb}: {e}") from None
-        # The module runs outside the guard above: a fault of its own is not the line's.
+        # Runs outside the try block: an exception of the module must not be reported as an invalid line.
         instance = {"front": message.get("front")}
         return [orjson.dumps(instance | ACTIONS[type(action)](action)).decode() for action in decide()]
 
@@ -174,7 +174,7 @@
         return message
 
     def _read(self, verb: str, message: Message, now: float) -> Decision:
-        """Reads the message in full; what is returned then lets the instance decide."""
+        """Parses the complete message; the returned function lets the instance handle it."""
         if verb == "sheet":
             self.endpoint_lists[message["table"]] = tuple(map(_parse_endpoint, message["records"]))
             return list
@@ -203,7 +203,7 @@
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
-    """Reads the wire until its end; exit code 2 at a line that can't be right."""
+    """Handles input lines until end of file; returns exit code 2 at an invalid line."""
     adapter = Adapter()
     for number, text in enumerate(source, 1):
         if not text.strip():
--- a/tests/test_call_limits.py
+++ b/tests/test_call_limits.py
@@ -288,7 +288,7 @@
 @pytest.mark.parametrize(
     ("accounts", "key"),
     [
-        ("acme", "settings.accounts: a list is wanted"),
+        ("acme", "settings.accounts: a list is required"),
         ([{"quota_per_s": 1}], "settings.accounts[0].name is missing"),
         ([{"name": "acme", "quota_per_s": -1}], "settings.accounts[0].quota_per_s: -1 is not"),
         ([{"name": "a", "quota_per_s": 1}] * 2, "settings.accounts[1].name: 'a' is there twice"),
