--- a/softswitch/__init__.py
+++ b/softswitch/__init__.py
@@ -1,4 +1,4 @@
-"""willowhitch: decides, inside each front, which core server a call set-up goes to, or that it is refused."""
+"""willowhitch, a softswitch: selects an endpoint for each call setup, or rejects the setup."""
 
 from softswitch.policy.controller import Controller
 
--- a/softswitch/limits/__init__.py
+++ b/softswitch/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of calls, as pure decisions: events and times in, admission out. No I/O, and no clock is read."""
+"""Limits on calls, as pure functions of events and times: no I/O, and no clock is read."""
--- a/softswitch/limits/called_numbers.py
+++ b/softswitch/limits/called_numbers.py
@@ -1,10 +1,10 @@
-"""Numbers whose lines are all busy: calls to them are rejected before they cost an endpoint work.
+"""Rejects calls to numbers whose lines are all busy, before they cause work at an endpoint.
 
-A busy number is busy at every endpoint, and each call set up in vain is work for a processor others need.
-How many lines a number has is not told, nor how many of them other softswitches use. So a busy answer closes
-the number for an interval that doubles from one busy answer to the next (binary exponential backoff, as in
-Metcalfe and Boggs, "Ethernet", 1976); the first call after it is a probe. A call that is established, and one
-that ends, opens the number for the next call at once. Times are in ms.
+A busy number is busy at every endpoint, and each failed call setup takes processor time from other calls. The
+number of lines of a called number is unknown, and so are the lines that other softswitches use. Therefore a
+busy answer closes the number for an interval that doubles with each busy answer (binary exponential backoff,
+as in Metcalfe and Boggs, "Ethernet", 1976); the first call after the interval is a probe. When a call to the
+number is established or ends, the number opens for the next call at once. Times are in ms.
 """
 
 from __future__ import annotations
@@ -12,50 +12,50 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-MAX_NUMBERS = 4_096  # busy numbers that are known; the one that was busy longest ago is forgotten first
-MAX_ESTABLISHED = 4_096  # established calls to them that are known
+MAX_NUMBERS = 4_096  # busy numbers in the table; the one that was busy longest ago is evicted first
+MAX_ESTABLISHED = 4_096  # established calls to them in the table; the oldest is evicted first
 FIRST_INTERVAL = 500.0  # ms after the first busy answer
-MAX_INTERVAL = 4_000.0  # ms; so long a freed line may stay unused
-FORGET_AFTER = 30_000.0  # ms without a busy answer, after which a number is like any other
+MAX_INTERVAL = 4_000.0  # ms; a line that becomes free may stay unused for this long
+REMOVE_AFTER = 30_000.0  # ms after the last busy answer until a number is removed from the table
 
 
 @dataclass(slots=True)
 class BusyNumber:
-    """A number that was busy lately."""
+    """State of a number that was busy recently."""
 
-    busy_at: float  # the last time
+    busy_at: float  # time of the last busy answer
     closed_until: float
-    interval: float
+    interval: float  # ms for which the last busy answer or probe closes the number
 
 
 class CalledNumbers:
-    """Owner of what is known of busy numbers."""
+    """Table of the numbers that were busy recently, and of the established calls to them."""
 
     def __init__(self, max_numbers: int = MAX_NUMBERS, max_established: int = MAX_ESTABLISHED) -> None:
         self.max_numbers = max_numbers
         self.max_established = max_established
         self.numbers: OrderedDict[str, BusyNumber] = OrderedDict()  # the one busy longest ago first
-        self.established: OrderedDict[str, str] = OrderedDict()  # calls to these numbers, the oldest first
+        self.established: OrderedDict[str, str] = OrderedDict()  # call id -> number, the oldest call first
         self.rejected = 0
         self.probes = 0
 
     def admit(self, now: float, number: str) -> float:
-        """Admits a call to the number: 0. Otherwise ms until one more may be tried."""
+        """Returns 0 if a call to the number is admitted; otherwise ms until the next one may be."""
         known = self.numbers.get(number)
         if known is None:
             return 0.0
-        if now - known.busy_at > FORGET_AFTER:
+        if now - known.busy_at > REMOVE_AFTER:
             del self.numbers[number]
             return 0.0
         if now < known.closed_until:
             self.rejected += 1
             return known.closed_until - now
         self.probes += 1
-        known.closed_until = now + known.interval  # until this one is answered
+        known.closed_until = now + known.interval  # until this probe is answered
         return 0.0
 
     def busy(self, now: float, number: str) -> None:
-        """A call to the number found all its lines busy."""
+        """Records that a call to the number found all its lines busy."""
         known = self.numbers.get(number)
         if known is None:
             known = self.numbers[number] = BusyNumber(now, now, FIRST_INTERVAL / 2)
@@ -67,7 +67,7 @@
         known.closed_until = now + known.interval
 
     def answered(self, now: float, number: str, call: str) -> None:
-        """A call to the number is established: there may be one more line."""
+        """Records that a call to the number was established: another line may be free."""
         known = self.numbers.get(number)
         if known is None:
             return
@@ -78,7 +78,7 @@
             self.established.popitem(last=False)
 
     def ended(self, now: float, call: str) -> None:
-        """An established call ended: if it went to one of these numbers, a line is free."""
+        """Records the end of an established call; its number, if in the table, has a free line."""
         known = self.numbers.get(self.established.pop(call, ""))
         if known is not None:
             known.closed_until = now
--- a/softswitch/limits/tenants.py
+++ b/softswitch/limits/tenants.py
@@ -1,32 +1,32 @@
-"""Tenants' quotas: which calls are beyond them, and so are the first to be shed when processors are short.
+"""Quotas of tenants: calls over the quota lose priority, so that they are shed first under overload.
 
-Each tenant has a token bucket (Turner, "New directions in communications", 1986): tokens come at this
-softswitch's part of the quota, up to a burst, and each call takes one. A call that finds none is over its
-quota. It is not rejected for that: the decision module serves calls by weight, so what is over goes last, and
-is served while there is capacity. Times are in ms.
+Each tenant has a token bucket (Turner, "New directions in communications", 1986). It is filled at this
+softswitch's fraction of the quota, up to a burst, and each call takes one token. A call that finds none is
+over the quota. It is not rejected for that: the decision module serves calls by weight, so calls over
+the quota are served last, while there is capacity. Times are in ms.
 """
 
 from __future__ import annotations
 
 from softswitch import interface as i
 
-BURST = 2_000.0  # ms of its quota that a tenant may have saved up
+BURST = 2_000.0  # ms; maximum tokens of a tenant, as the time in which its quota issues them
 MS_PER_S = 1_000.0
 
 
 class TokenBucket:
-    """One tenant's calls at this softswitch."""
+    """Token bucket for the calls of one tenant at this softswitch."""
 
     __slots__ = ("quota", "tokens", "updated_at")
 
     def __init__(self, quota: float) -> None:
-        self.quota = quota  # calls per ms, of all softswitches together
+        self.quota = quota  # calls per ms over all softswitches
         self.tokens = 0.0
-        self.updated_at: float | None = None  # None: no call yet, and so a full bucket
+        self.updated_at: float | None = None  # None: no call yet, the bucket is full
 
-    def take(self, now: float, part: float) -> bool:
-        """Takes a token, with this part of the quota as its rate; false: there is none."""
-        rate = self.quota * part
+    def take(self, now: float, call_share: float) -> bool:
+        """Takes a token; False: there is none. Tokens are added at the fraction `call_share` of the quota."""
+        rate = self.quota * call_share
         burst = max(1.0, rate * BURST)
         gained = burst if self.updated_at is None else rate * (now - self.updated_at)
         self.tokens = min(burst, self.tokens + gained)
@@ -38,33 +38,33 @@
 
 
 class TenantQuotas:
-    """Owner of the buckets.
+    """Token buckets of all tenants.
 
-    Softswitches share nothing: each takes its share of all calls as its part of the quotas.
+    The softswitches exchange no data about them: each applies its fraction of all calls to the quotas.
     """
 
     def __init__(self, settings: i.Settings) -> None:
-        self.over_quota_calls = 0  # calls beyond their tenant's quota
+        self.over_quota_calls = 0  # total number of calls over their tenant's quota
         self.buckets: dict[str, TokenBucket] = {}
         self.apply(settings)
 
     def apply(self, settings: i.Settings) -> None:
-        """These settings hold from now on; tenants that stay keep their tokens."""
-        before, self.buckets = self.buckets, {}
+        """Applies new settings; tenants that are still listed keep their tokens."""
+        old_buckets, self.buckets = self.buckets, {}
         self.over_weight = settings.over_quota_weight
         self.min_weight = settings.min_weight
         for tenant in settings.tenants:
-            bucket = self.buckets[tenant.name] = before.get(tenant.name) or TokenBucket(0.0)
+            bucket = self.buckets[tenant.name] = old_buckets.get(tenant.name) or TokenBucket(0.0)
             bucket.quota = tenant.quota / MS_PER_S
 
-    def weight_share(self, now: float, tenant: str, call_class: i.CallClass, part: float) -> float:
-        """The share of its class's weight that one more call of the tenant has.
+    def weight_factor(self, now: float, tenant: str, call_class: i.CallClass, call_share: float) -> float:
+        """Returns the factor by which the weight of one more call of the tenant is multiplied.
 
-        Every call takes a token, and only those of the lowest weight are counted down: the part is an
-        estimate, and a dear call that is shed by mistake costs more than several cheap ones that are kept.
+        Every call takes a token, but only calls of the lowest weight are reduced: `call_share` is an estimate,
+        and shedding one call of high weight by mistake costs more than serving several of low weight.
         """
         bucket = self.buckets.get(tenant)
-        if bucket is None or bucket.take(now, part):
+        if bucket is None or bucket.take(now, call_share):
             return 1.0
         self.over_quota_calls += 1
         return self.over_weight if call_class.priority_weight <= self.min_weight else 1.0
--- a/tests/test_call_limits.py
+++ b/tests/test_call_limits.py
@@ -11,7 +11,7 @@
 from softswitch import Controller
 from softswitch import interface as i
 from softswitch.limits.call_limits import CallLimits
-from softswitch.limits.called_numbers import FIRST_INTERVAL, FORGET_AFTER, MAX_INTERVAL, CalledNumbers
+from softswitch.limits.called_numbers import FIRST_INTERVAL, MAX_INTERVAL, REMOVE_AFTER, CalledNumbers
 from softswitch.limits.tenants import BURST, TenantQuotas
 from softswitch.net.engine_codec import (
     MAX_RETRY_AFTER,
@@ -61,7 +61,7 @@
 def test_a_number_that_was_not_busy_for_long_is_like_any_other():
     numbers = CalledNumbers()
     numbers.busy(0.0, "7")
-    assert numbers.admit(FORGET_AFTER + 1, "7") == 0.0
+    assert numbers.admit(REMOVE_AFTER + 1, "7") == 0.0
     assert not numbers.numbers
 
 
@@ -210,26 +210,26 @@
 def test_a_tenants_calls_beyond_its_part_of_the_quota_weigh_less():
     quotas = TenantQuotas(settings(**QUOTAS))
     burst = round(ACME.quota * BURST / 1000 / 2)  # with half of all calls
-    shares = [quotas.weight_share(0.0, "acme", PLAIN, 0.5) for _ in range(burst + 3)]
+    shares = [quotas.weight_factor(0.0, "acme", PLAIN, 0.5) for _ in range(burst + 3)]
     assert shares == [1.0] * burst + [0.1] * 3
-    assert quotas.weight_share(0.0, "bolt", PLAIN, 0.5) == 1.0
-    assert quotas.weight_share(0.0, "", PLAIN, 0.5) == 1.0
-    assert quotas.weight_share(0.0, "unknown", PLAIN, 0.5) == 1.0
-    assert quotas.weight_share(0.0, "acme", DEAR, 0.5) == 1.0  # never the dear ones
-    assert quotas.weight_share(201.0, "acme", PLAIN, 0.5) == 1.0  # a token each 200 ms
-    assert quotas.weight_share(202.0, "acme", PLAIN, 0.5) == 0.1
+    assert quotas.weight_factor(0.0, "bolt", PLAIN, 0.5) == 1.0
+    assert quotas.weight_factor(0.0, "", PLAIN, 0.5) == 1.0
+    assert quotas.weight_factor(0.0, "unknown", PLAIN, 0.5) == 1.0
+    assert quotas.weight_factor(0.0, "acme", DEAR, 0.5) == 1.0  # never the dear ones
+    assert quotas.weight_factor(201.0, "acme", PLAIN, 0.5) == 1.0  # a token each 200 ms
+    assert quotas.weight_factor(202.0, "acme", PLAIN, 0.5) == 0.1
     assert quotas.over_quota_calls == 5
 
 
 def test_new_settings_keep_the_tokens_of_tenants_that_stay():
     quotas = TenantQuotas(settings(**QUOTAS))
-    while quotas.weight_share(0.0, "acme", PLAIN, 1.0) == 1.0:
+    while quotas.weight_factor(0.0, "acme", PLAIN, 1.0) == 1.0:
         pass
     quotas.apply(settings(tenants=(ACME,), over_quota_weight=0.2))
-    assert quotas.weight_share(1.0, "acme", PLAIN, 1.0) == 0.2
+    assert quotas.weight_factor(1.0, "acme", PLAIN, 1.0) == 0.2
     assert list(quotas.buckets) == ["acme"]
     quotas.apply(settings())
-    assert quotas.weight_share(2.0, "acme", PLAIN, 1.0) == 1.0
+    assert quotas.weight_factor(2.0, "acme", PLAIN, 1.0) == 1.0
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -243,7 +243,7 @@
     while now < 60_000.0:
         now += rng.expovariate(20 / 1000)  # twice the quota of acme
         n = rng.choices(range(len(shares)), shares)[0]
-        parts[n].weight_share(now, "acme", PLAIN, shares[n])
+        parts[n].weight_factor(now, "acme", PLAIN, shares[n])
         calls += 1
     assert 0.35 < sum(p.over_quota_calls for p in parts) / calls < 0.55
 
