--- a/softswitch/limits/tenants.py
+++ b/softswitch/limits/tenants.py
@@ -60,8 +60,8 @@
     def weight_factor(self, now: float, tenant: str, call_class: i.CallClass, call_share: float) -> float:
         """Returns the factor by which the weight of one more call of the tenant is multiplied.
 
-        Every call takes a token, but only calls of the lowest weight are reduced: `call_share` is an estimate,
-        and shedding one call of high weight by mistake costs more than serving several of low weight.
+        Every call takes a token, but only the weight of calls of the lowest weight is reduced: `call_share`
+        is an estimate, and shedding one call of high weight costs more than serving several of low weight.
         """
         bucket = self.buckets.get(tenant)
         if bucket is None or bucket.take(now, call_share):
