--- a/tests/support/policy_driver.py
+++ b/tests/support/policy_driver.py
@@ -1,4 +1,4 @@
-"""A front with named servers, driven by hand."""
+"""Drives the decision module of one softswitch with hand-made events."""
 
 from softswitch import Controller
 from softswitch import interface as i
@@ -8,7 +8,7 @@
         "plain", latency_objective=1500.0, priority_weight=1.0, late_weight_share=0.25, holding_time=8000.0
     ),
     i.CallClass(
-        "dear", latency_objective=1500.0, priority_weight=4.0, late_weight_share=0.25, holding_time=8000.0
+        "priority", latency_objective=1500.0, priority_weight=4.0, late_weight_share=0.25, holding_time=8000.0
     ),
 )
 BASE = dict(
@@ -33,51 +33,52 @@
     return i.Settings(**(BASE | changes))
 
 
-def entry(name, cell, state=i.EndpointState.READY, started_at=0.0, weight=500.0):
+def endpoint(name, cell, state=i.EndpointState.READY, started_at=0.0, weight=500.0):
     return i.Endpoint(name, cell, state, started_at, weight)
 
 
-def front(servers=("a", "b"), seed=1, **changes):
+def start_controller(servers=("a", "b"), seed=1, **changes):
     c = Controller(settings(**changes), seed)
     c.start(0.0)
     c.handle(
-        0.0, i.EndpointsChanged(i.UpdateKind.COMPLETE, tuple(entry(s, n) for n, s in enumerate(servers)))
+        0.0, i.EndpointsChanged(i.UpdateKind.COMPLETE, tuple(endpoint(s, n) for n, s in enumerate(servers)))
     )
     for s in servers:
-        lines(c, 0.0, s)
+        report_circuits(c, 0.0, s)
     return c
 
 
-def lines(c, now, server, free=100.0, size=500.0):
-    """The list of free lines that comes unasked to every front."""
+def report_circuits(c, now, server, free=100.0, size=500.0):
+    """Delivers an unsolicited load report."""
     return c.handle(now, i.LoadReported(server, i.Outcome.OK, (free, size)))
 
 
-def sends(actions):
+def sent_attempts(actions):
+    """Returns the SendAttempt actions."""
     return [a for a in actions if isinstance(a, i.SendAttempt)]
 
 
-def call(c, now, name, klass="plain", dest=0, timeout=3000.0, **more):
-    return c.handle(now, i.SetupRequested(name, klass, dest, timeout, **more))
+def call(c, now, name, call_class="plain", dest=0, timeout=3000.0, **more):
+    return c.handle(now, i.SetupRequested(name, call_class, dest, timeout, **more))
 
 
-def stands(c, now, name, server, n=0, elapsed=40.0):
+def answer(c, now, name, server, n=0, elapsed=40.0):
     return c.handle(now, i.AttemptAnswered(name, n, server, elapsed))
 
 
-def ended(c, now, name, server, outcome, n=0, **more):
+def end_attempt(c, now, name, server, outcome, n=0, **more):
     return c.handle(now, i.AttemptEnded(name, n, server, outcome, 40.0, **more))
 
 
-def press(c, now, server, rounds=12, delay=1200.0):
-    """Answers that took `delay` each shut the server's gate."""
+def overload(c, now, server, rounds=12, delay=1200.0):
+    """Closes the gate of the server by answers that took `delay` ms each."""
     for _ in range(rounds):
         c.gates[server].observe(now, delay)
 
 
-def beats(c, until):
-    """Wakes the front whenever it asked to be woken, up to a time."""
-    said = []
+def run_sweeps(c, until):
+    """Fires the sweep timer whenever it is due, up to a time; returns the actions."""
+    actions = []
     while c.sweep_due is not None and c.sweep_due < until:
-        said += c.handle(c.sweep_due, i.TimerFired(0))
-    return said
+        actions += c.handle(c.sweep_due, i.TimerFired(0))
+    return actions
--- a/tests/test_call_limits.py
+++ b/tests/test_call_limits.py
@@ -1,11 +1,20 @@
-"""Limits by number called: the pure table on drawn orders of events, the module with it, and on sockets."""
+"""Limits by called number and by tenant: alone, in the decision module, and on sockets."""
 
 import json
 import random
 
 import pytest
 from support.harness import Stage
-from support.policy_driver import CLASSES, call, ended, entry, press, sends, settings, stands
+from support.policy_driver import (
+    CLASSES,
+    answer,
+    call,
+    end_attempt,
+    endpoint,
+    overload,
+    sent_attempts,
+    settings,
+)
 from support.settings import INFO
 
 from softswitch import Controller
@@ -58,14 +67,14 @@
     assert not numbers.established
 
 
-def test_a_number_that_was_not_busy_for_long_is_like_any_other():
+def test_a_number_that_was_not_busy_for_long_is_removed():
     numbers = CalledNumbers()
     numbers.busy(0.0, "7")
     assert numbers.admit(REMOVE_AFTER + 1, "7") == 0.0
     assert not numbers.numbers
 
 
-def test_memory_is_bounded_and_the_number_busy_longest_ago_goes_first():
+def test_memory_is_bounded_and_the_number_busy_longest_ago_is_evicted_first():
     numbers = CalledNumbers(max_numbers=3, max_established=2)
     for n in range(5):
         numbers.busy(float(n), str(n))
@@ -77,22 +86,22 @@
     assert list(numbers.established) == ["b", "c"]
 
 
-def play(seed, with_limits, lines=4, softswitches=5, seconds=60.0):
-    """Softswitches that share one number with few lines; events come late by a drawn delay.
+def simulate(seed, with_limits, lines=4, softswitches=5, seconds=60.0):
+    """Simulates softswitches that call one number with few lines; events are delayed at random.
 
-    Returned: set-ups in vain a second, and the share of the lines that was used.
+    Returns the failed call setups per second, and the fraction of the lines in use.
     """
     rng = random.Random(seed)
     tables = [CalledNumbers() for _ in range(softswitches)]
-    events, order, in_use, in_vain, used, now = [], 0, 0, 0, 0.0, 0.0
+    events, order, in_use, failed, used, now = [], 0, 0, 0, 0.0, 0.0
     while now < seconds * 1000:
         step = rng.expovariate(20 / 1000)  # 20 calls a second
         used += in_use * step
         now += step
-        for at, _, what, table, call_id in sorted(e for e in events if e[0] <= now):
-            if what == "answered":
+        for at, _, outcome, table, call_id in sorted(e for e in events if e[0] <= now):
+            if outcome == "answered":
                 table.answered(at, "7", call_id)
-            elif what == "busy":
+            elif outcome == "busy":
                 table.busy(at, "7")
             else:
                 in_use -= 1
@@ -107,56 +116,57 @@
             events.append((answer_at, order, "answered", table, call_id))
             events.append((answer_at + rng.expovariate(1 / 9000), order, "ended", table, call_id))
         else:
-            in_vain += 1
+            failed += 1
             events.append((answer_at, order, "busy", table, call_id))
-    return in_vain / seconds, used / (now * lines)
+    return failed / seconds, used / (now * lines)
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_set_ups_in_vain_become_rare_and_the_lines_stay_in_use(seed):
-    plain, _ = play(seed, with_limits=False)
-    in_vain, used = play(seed, with_limits=True)
-    assert plain > 15.0
-    assert in_vain < plain / 5
+def test_failed_call_setups_become_rare_and_the_lines_stay_in_use(seed):
+    unlimited, _ = simulate(seed, with_limits=False)
+    failed, used = simulate(seed, with_limits=True)
+    assert unlimited > 15.0
+    assert failed < unlimited / 5
     assert used > 0.6
 
 
-def front(**changes):
+def start_controller(**changes):
     c = Controller(settings(**changes), 1, CallLimits(settings(**changes)))
     c.start(0.0)
     c.handle(
-        0.0, i.EndpointsChanged(i.UpdateKind.COMPLETE, tuple(entry(s, n) for n, s in enumerate(("a", "b"))))
+        0.0,
+        i.EndpointsChanged(i.UpdateKind.COMPLETE, tuple(endpoint(s, n) for n, s in enumerate(("a", "b")))),
     )
     return c
 
 
 def test_the_module_does_not_retry_a_busy_number_and_rejects_the_next_call_to_it():
-    c = front()
-    assert sends(call(c, 10.0, "x", number="7"))
-    actions = ended(c, 50.0, "x", "a", i.Outcome.ERROR, callee_busy=True)
-    assert not sends(actions)
+    c = start_controller()
+    assert sent_attempts(call(c, 10.0, "x", number="7"))
+    actions = end_attempt(c, 50.0, "x", "a", i.Outcome.ERROR, callee_busy=True)
+    assert not sent_attempts(actions)
     assert [a.call for a in actions if isinstance(a, i.Reject)] == ["x"]
     assert [type(a) for a in call(c, 60.0, "y", number="7") if not isinstance(a, i.StartTimer)] == [i.Reject]
-    assert sends(call(c, 61.0, "z", number="8"))
+    assert sent_attempts(call(c, 61.0, "z", number="8"))
     assert c.gates["a"].failures == 0.0
     probe = call(c, 51.0 + FIRST_INTERVAL, "p", number="7")
-    assert sends(probe)
-    stands(c, 600.0, "p", "a")
-    assert sends(call(c, 610.0, "q", number="7"))
+    assert sent_attempts(probe)
+    answer(c, 600.0, "p", "a")
+    assert sent_attempts(call(c, 610.0, "q", number="7"))
 
 
 def test_without_a_number_nothing_is_limited():
-    c = front()
-    assert sends(call(c, 10.0, "x"))
-    ended(c, 50.0, "x", "a", i.Outcome.ERROR, callee_busy=True)
-    assert sends(call(c, 60.0, "y"))
+    c = start_controller()
+    assert sent_attempts(call(c, 10.0, "x"))
+    end_attempt(c, 50.0, "x", "a", i.Outcome.ERROR, callee_busy=True)
+    assert sent_attempts(call(c, 60.0, "y"))
 
 
 @pytest.mark.parametrize(
     ("text", "wait"),
     [(b"350", 350.0), (b"", 0.0), (b"-5", 0.0), (b"1e9", 0.0), (b"9" * 9, MAX_RETRY_AFTER), (b"9" * 10, 0.0)],
 )
-def test_the_wait_at_a_full_processor_is_read_or_none(text, wait):
+def test_the_retry_after_time_of_a_full_processor_is_decoded_or_zero(text, wait):
     release = encode_message(
         MessageType.RELEASE,
         "00" * 8,
@@ -167,7 +177,7 @@
     assert decode_message(release).retry_after == wait
 
 
-def test_a_full_processors_wait_keeps_calls_away_on_sockets():
+def test_the_retry_after_time_of_a_full_processor_stops_calls_to_it_on_sockets():
     with Stage(engines=1) as s:
         s.play("""
             c0 send INVITE 1 X-Patience=400
@@ -181,7 +191,7 @@
             """)
 
 
-def test_a_busy_number_closes_on_sockets_and_opens_as_a_call_to_it_ends():
+def test_a_busy_number_is_rejected_and_other_numbers_are_not_on_sockets():
     with Stage() as s:
         s.play("""
             c0 send INVITE 1 number=55
@@ -203,25 +213,25 @@
 
 
 ACME, BOLT = i.Tenant("acme", 10.0), i.Tenant("bolt", 5.0)
-PLAIN, DEAR = CLASSES
+PLAIN, PRIORITY = CLASSES
 QUOTAS = {"tenants": (ACME, BOLT), "over_quota_weight": 0.1}
 
 
-def test_a_tenants_calls_beyond_its_part_of_the_quota_weigh_less():
+def test_calls_of_a_tenant_over_its_fraction_of_the_quota_have_less_weight():
     quotas = TenantQuotas(settings(**QUOTAS))
-    burst = round(ACME.quota * BURST / 1000 / 2)  # with half of all calls
+    burst = round(ACME.quota * BURST / 1000 / 2)  # this softswitch has half of all calls
     shares = [quotas.weight_factor(0.0, "acme", PLAIN, 0.5) for _ in range(burst + 3)]
     assert shares == [1.0] * burst + [0.1] * 3
     assert quotas.weight_factor(0.0, "bolt", PLAIN, 0.5) == 1.0
     assert quotas.weight_factor(0.0, "", PLAIN, 0.5) == 1.0
     assert quotas.weight_factor(0.0, "unknown", PLAIN, 0.5) == 1.0
-    assert quotas.weight_factor(0.0, "acme", DEAR, 0.5) == 1.0  # never the dear ones
+    assert quotas.weight_factor(0.0, "acme", PRIORITY, 0.5) == 1.0  # only the lowest weight is reduced
     assert quotas.weight_factor(201.0, "acme", PLAIN, 0.5) == 1.0  # a token each 200 ms
     assert quotas.weight_factor(202.0, "acme", PLAIN, 0.5) == 0.1
     assert quotas.over_quota_calls == 5
 
 
-def test_new_settings_keep_the_tokens_of_tenants_that_stay():
+def test_new_settings_keep_the_tokens_of_tenants_that_remain():
     quotas = TenantQuotas(settings(**QUOTAS))
     while quotas.weight_factor(0.0, "acme", PLAIN, 1.0) == 1.0:
         pass
@@ -233,36 +243,36 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_uneven_softswitches_find_about_as_much_beyond_the_quota_as_one_would(seed):
-    """With parts by their true shares of all calls; the error of equal parts is on the design page."""
+def test_unequal_softswitches_find_about_as_many_calls_over_the_quota_as_one_would(seed):
+    """Each has its true fraction of all calls; the error of equal fractions is on the design page."""
     rng = random.Random(seed)
     shares = [rng.uniform(0.2, 3.0) for _ in range(6)]
     shares = [share / sum(shares) for share in shares]
-    parts = [TenantQuotas(settings(**QUOTAS)) for _ in shares]
+    quotas = [TenantQuotas(settings(**QUOTAS)) for _ in shares]
     now, calls = 0.0, 0
     while now < 60_000.0:
         now += rng.expovariate(20 / 1000)  # twice the quota of acme
         n = rng.choices(range(len(shares)), shares)[0]
-        parts[n].weight_factor(now, "acme", PLAIN, shares[n])
+        quotas[n].weight_factor(now, "acme", PLAIN, shares[n])
         calls += 1
-    assert 0.35 < sum(p.over_quota_calls for p in parts) / calls < 0.55
+    assert 0.35 < sum(q.over_quota_calls for q in quotas) / calls < 0.55
 
 
-def test_under_pressure_a_call_beyond_the_quota_waits_behind_one_within_it():
-    c = front(**QUOTAS)
-    for n in range(40):  # all of the burst and more
+def test_under_overload_a_call_over_the_quota_waits_behind_one_within_it():
+    c = start_controller(**QUOTAS)
+    for n in range(40):  # more than the burst
         call(c, 1000.0, f"used{n}", tenant="acme")
     for server in "ab":
-        press(c, 1000.0, server)
+        overload(c, 1000.0, server)
         c.gates[server].probed_at = 1000.0
-    assert not sends(call(c, 1001.0, "within", tenant="bolt"))
-    assert not sends(call(c, 1001.0, "over", tenant="acme"))
+    assert not sent_attempts(call(c, 1001.0, "within", tenant="bolt"))
+    assert not sent_attempts(call(c, 1001.0, "over", tenant="acme"))
     assert c.calls["over"].weight == pytest.approx(0.1)
     assert c.calls["within"].weight == 1.0
-    for server in "ab":  # it answers again
+    for server in "ab":  # the endpoint answers in time
         c.gates[server].estimate.delay = c.gates[server].overloaded_until = 0.0
         c.gates[server].in_flight.clear()
-    sent = [a.call for a in sends(c.handle(1100.0, i.TimerFired(-1)))]
+    sent = [a.call for a in sent_attempts(c.handle(1100.0, i.TimerFired(-1)))]
     assert sent.index("within") < sent.index("over")
 
 
@@ -281,8 +291,8 @@
 
 
 def test_an_account_without_a_quota_has_no_limit():
-    taken = check_settings(INFO | {"accounts": [{"name": "a"}, {"name": "b", "quota_per_s": 2}]})
-    assert taken.tenants == (i.Tenant("b", 2),)
+    accepted = check_settings(INFO | {"accounts": [{"name": "a"}, {"name": "b", "quota_per_s": 2}]})
+    assert accepted.tenants == (i.Tenant("b", 2),)
 
 
 @pytest.mark.parametrize(
@@ -294,10 +304,10 @@
         ([{"name": "a", "quota_per_s": 1}] * 2, "settings.accounts[1].name: 'a' is there twice"),
     ],
 )
-def test_wrong_accounts_are_refused_with_their_key_and_lose_no_call(accounts, key):
+def test_invalid_accounts_are_rejected_with_their_key_and_lose_no_call(accounts, key):
     with Stage(engines=1) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}")
-        wrong = s.made | {"settings": INFO | {"accounts": accounts}}
-        s.play(f"p config {json.dumps(wrong)}")
+        invalid = s.made | {"settings": INFO | {"accounts": accounts}}
+        s.play(f"p config {json.dumps(invalid)}")
         s.play("c0 wait 200\ne0 send ANSWER 1 33=d\nc0 expect 200 .*{1}")
         assert key in s.said()
