--- a/tests/support/settings.py
+++ b/tests/support/settings.py
@@ -1,4 +1,4 @@
-"""The settings object of the tests, as a configuration and the simulator give it."""
+"""Settings object of the tests, as the configuration and the simulator contain it."""
 
 INFO = {
     "family": "trunks",
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The policy package: width of its lines, its reference to its types, its entry in the deploy file."""
+"""The policy package: line lengths, the reference to its types, and its entry in the deploy file."""
 
 import tomllib
 from pathlib import Path
@@ -7,7 +7,7 @@
 PACKAGE = ROOT / "softswitch" / "policy"
 
 
-def test_module_lines():
+def test_line_lengths_and_the_reference_to_the_types():
     lines = [line for path in PACKAGE.rglob("*.py") for line in path.read_text().splitlines()]
     assert max(map(len, lines)) <= 110
     assert "softswitch/interface.py" in (PACKAGE / "__init__.py").read_text().splitlines()[0]
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter on hand-written lines of the wire."""
+"""The simulator adapter on hand-written input lines."""
 
 import io
 import json
@@ -8,7 +8,7 @@
 
 from softswitch.simulator_adapter import main
 
-SHEET = {
+ENDPOINT_LIST = {
     "verb": "sheet",
     "table": 0,
     "records": [
@@ -19,10 +19,10 @@
 CALL = {"verb": "request", "front": 0, "handle": "0a", "category": "x", "terminates_at": 1, "grace": 3000.0}
 
 
-def start(front=0):
+def start(instance=0):
     return [
-        {"verb": "start", "front": front, "seed": 5, "info": INFO},
-        {"verb": "membership", "front": front, "table": 0, "gen": 1, "scope": "stale_copy"},
+        {"verb": "start", "front": instance, "seed": 5, "info": INFO},
+        {"verb": "membership", "front": instance, "table": 0, "gen": 1, "scope": "stale_copy"},
     ]
 
 
@@ -38,14 +38,14 @@
 
 
 def test_a_call_is_sent_to_its_destination():
-    code, said = run(batch(5.0, SHEET, *start(), CALL) + batch(10.0))
+    code, replies = run(batch(5.0, ENDPOINT_LIST, *start(), CALL) + batch(10.0))
     assert code == 0
-    assert {"verb": "dispatch", "front": 0, "handle": "0a", "server": "s_b", "allow_for": 0.0} in said
-    assert [m["verb"] for m in said].count("done") == 2
+    assert {"verb": "dispatch", "front": 0, "handle": "0a", "server": "s_b", "allow_for": 0.0} in replies
+    assert [m["verb"] for m in replies].count("done") == 2
 
 
-def test_answers_come_back_as_types():
-    full = {
+def test_a_rejected_attempt_is_retried_at_another_endpoint():
+    rejection = {
         "verb": "answer",
         "front": 0,
         "handle": "0a",
@@ -56,19 +56,19 @@
         "reason": 3 + 16 * 250,
         "telemetry": [3, 90],
     }
-    _, said = run(batch(5.0, SHEET, *start(), CALL) + batch(15.0, full))
-    assert [m["server"] for m in said if m["verb"] == "dispatch"] == ["s_b", "s_a"]
+    _, replies = run(batch(5.0, ENDPOINT_LIST, *start(), CALL) + batch(15.0, rejection))
+    assert [m["server"] for m in replies if m["verb"] == "dispatch"] == ["s_b", "s_a"]
 
 
-def test_fronts_are_apart_and_a_stop_forgets():
-    two = batch(5.0, SHEET, *start(0), *start(1), CALL)
-    code, said = run(two + batch(9.0, {"verb": "down", "front": 0}, *start(0), CALL))
+def test_instances_are_independent_and_a_stop_removes_the_state():
+    two_instances = batch(5.0, ENDPOINT_LIST, *start(0), *start(1), CALL)
+    code, replies = run(two_instances + batch(9.0, {"verb": "down", "front": 0}, *start(0), CALL))
     assert code == 0
-    assert {m["front"] for m in said if "front" in m} == {0}
+    assert {m["front"] for m in replies if "front" in m} == {0}
 
 
 @pytest.mark.parametrize(
-    ("line", "fault"),
+    ("line", "error"),
     [
         ("{nonsense", "not valid JSON"),
         ("[1]", "not an object with a verb"),
@@ -79,11 +79,11 @@
         ('{"verb":"answer","front":0,"handle":"0a","server":"s_a","rc":77}', "77"),
     ],
 )
-def test_a_bad_line_ends_with_one_plain_message(line, fault, capsys):
-    code, _ = run([*batch(5.0, SHEET, *start()), {"verb": "clock", "clock": 6.0}, line])
+def test_an_invalid_line_ends_with_one_error_message(line, error, capsys):
+    code, _ = run([*batch(5.0, ENDPOINT_LIST, *start()), {"verb": "clock", "clock": 6.0}, line])
     err = capsys.readouterr().err
     assert code != 0
-    assert fault in err
+    assert error in err
     assert err.count("\n") == 1
     assert "Traceback" not in err
     assert "line 7" in err
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -1,5 +1,6 @@
-"""Settings that are far from one another: under each of them the program starts, serves, repeats, refuses,
-drains and stops as these say. Nothing here is any customer's; what is left out is left out on purpose.
+"""Runs the program under very different settings, which it has to follow from its start to its stop.
+
+None of the settings is a customer's. Some keys are omitted on purpose.
 """
 
 import json
@@ -11,19 +12,19 @@
 from support.harness import ROOT, Stage, call_id
 import itertools
 
-KEYED = "idempotency_key"  # may not be refused once an attempt may have run
+IDEMPOTENCY_KEY = "idempotency_key"  # not rejected once an attempt may have run
 
 
-def lane(name, aim=1500.0, deadline=None, effect=None, **more):
+def lane(name, aim=1500.0, deadline=None, idempotency=None, **more):
     return (
         {"name": name, "aim": aim, **more}
         | ({"hard_limit": deadline} if deadline else {})
-        | ({"idempotency": effect} if effect else {})
+        | ({"idempotency": idempotency} if idempotency else {})
     )
 
 
 VARIANTS = {
-    "short and not repeatable beside long": {
+    "short and non-idempotent class beside a long one": {
         "settings": {
             "lanes": [
                 lane("signal.urgent", 300.0, 700.0, "non_idempotent", credit=9.0, late_value=0.0),
@@ -51,10 +52,12 @@
         },
         "limits": {"sockets": 128, "memory_mb": 48},
     },
-    "many classes, tenants, tight memory": {
+    "many classes, tenants, little memory": {
         "settings": {
             "lanes": [
-                lane(f"class-{n}", 400.0 * n, 900.0 * n, (None, KEYED, "read_like")[n % 3], credit=n)
+                lane(
+                    f"class-{n}", 400.0 * n, 900.0 * n, (None, IDEMPOTENCY_KEY, "read_like")[n % 3], credit=n
+                )
                 for n in range(1, 7)
             ],
             "accounts": [
@@ -88,7 +91,7 @@
         },
         "limits": {},
     },
-    "long quiet time, one attempt": {
+    "long retry delay, one attempt": {
         "settings": {
             "lanes": [
                 lane("slow", 9000.0, 30_000.0, "read_like"),
@@ -102,7 +105,7 @@
         "limits": {"sockets": 96, "memory_mb": 40},
     },
 }
-EACH = pytest.mark.parametrize("variant", VARIANTS.values(), ids=VARIANTS)
+EACH_VARIANT = pytest.mark.parametrize("variant", VARIANTS.values(), ids=VARIANTS)
 
 
 def stage(variant):
@@ -110,92 +113,98 @@
 
 
 def classes(variant):
-    """Of each class: name, whether a set-up that may have run may be repeated, and its pools."""
-    pools = variant["settings"]["family_info"].get("skilled_pools") or []
-    for n, one in enumerate(variant["settings"]["lanes"]):
+    """Yields for each class: its name, whether it is idempotent, and its cells."""
+    cells = variant["settings"]["family_info"].get("skilled_pools") or []
+    for n, info in enumerate(variant["settings"]["lanes"]):
         yield (
-            one["name"],
-            one.get("idempotency", "read_like") == "read_like",
-            (pools[n] if n < len(pools) else None) or [0, 1],
+            info["name"],
+            info.get("idempotency", "read_like") == "read_like",
+            (cells[n] if n < len(cells) else None) or [0, 1],
         )
 
 
-@EACH
-def test_each_class_is_served_where_it_may_go_and_released(variant):
+@EACH_VARIANT
+def test_calls_of_each_class_are_established_at_its_cells_and_released(variant):
     with stage(variant) as s:
-        for n, (name, _, pools) in enumerate(classes(variant), 1):
-            engine = f"e{pools[0]}"
+        for n, (name, _, cells) in enumerate(classes(variant), 1):
+            engine = f"e{cells[0]}"
             s.play(
-                f"c0 send INVITE {n} Subject={name} X-Facts=dest:{pools[0]} body=d{n}\n"
+                f"c0 send INVITE {n} Subject={name} X-Facts=dest:{cells[0]} body=d{n}\n"
                 f"{engine} expect SET_UP {{{n}}} 3={name} .*33=d{n}\n"
                 f"{engine} send ANSWER {n} 33=a{n}\nc0 expect 200 OK.*INVITE.*a{n}$\n"
                 f"{engine} send RELEASE {n} 31=16\nc0 expect BYE.*{{{n}}}"
             )
 
 
-@EACH
-def test_attempts_and_quiet_time_are_those_of_the_settings(variant):
+@EACH_VARIANT
+def test_the_attempts_and_the_retry_delay_are_those_of_the_settings(variant):
     info = variant["settings"]
-    quiet, most = info["family_info"].get("clear_wait", 0.0), info["limits"].get("send_cap", 1)
-    one_of_each = {repeatable: name for name, repeatable, _ in classes(variant)}
-    for repeatable, name in one_of_each.items():
+    retry_delay, max_attempts = info["family_info"].get("clear_wait", 0.0), info["limits"].get("send_cap", 1)
+    one_of_each = {idempotent: name for name, idempotent, _ in classes(variant)}
+    for idempotent, name in one_of_each.items():
         with stage(variant) as s:
-            came, ended = [], []
+            attempts, answers = [], []
 
-            def reset(party, said, came=came, ended=ended, s=s):
-                if said.startswith("SET_UP"):
-                    came.append((time.monotonic(), party))
+            def reset(party, message, attempts=attempts, answers=answers, s=s):
+                if message.startswith("SET_UP"):
+                    attempts.append((time.monotonic(), party))
                     s.parties[party].send(f"RELEASE {call_id(1)} 31=41")
-                elif said.startswith("SIP/2.0"):
-                    ended.append(said)
+                elif message.startswith("SIP/2.0"):
+                    answers.append(message)
 
             s.play("c0 send OPTIONS\nc0 expect 200\ne0 wait 50")
             s.hook = reset
             s.play(f"c0 send INVITE 1 Subject={name} X-Patience=2500 X-Facts=dest:0;width:1")
             until = time.monotonic() + 3.0
-            while not ended and time.monotonic() < until:
+            while not answers and time.monotonic() < until:
                 s.pump(0.05)
-            gaps = [b[0] - a[0] for a, b in itertools.pairwise(came)]
-            assert len(ended) == 1 and 1 <= len(came) <= (most if repeatable else 1), (name, came, ended)
-            assert all(gap >= quiet / 1000 for gap in gaps), (name, gaps)
-            assert ended[0].startswith("SIP/2.0 503" if repeatable else "SIP/2.0 500"), (name, ended)
+            gaps = [b[0] - a[0] for a, b in itertools.pairwise(attempts)]
+            assert len(answers) == 1 and 1 <= len(attempts) <= (max_attempts if idempotent else 1), (
+                name,
+                attempts,
+                answers,
+            )
+            assert all(gap >= retry_delay / 1000 for gap in gaps), (name, gaps)
+            assert answers[0].startswith("SIP/2.0 503" if idempotent else "SIP/2.0 500"), (name, answers)
 
 
-@EACH
-def test_drained_engines_get_nothing_and_advice_is_given_where_the_settings_have_it(variant):
+@EACH_VARIANT
+def test_removed_engines_get_no_calls_and_retry_after_is_sent_as_the_settings_say(variant):
     limits = variant["settings"]["limits"]
-    advised = limits.get("max_retry_after", 0.0) if limits.get("retry_after") else 0.0
+    retry_after = limits.get("max_retry_after", 0.0) if limits.get("retry_after") else 0.0
     with stage(variant) as s:
         name = next(classes(variant))[0]
         s.play(
             f"b expect after 3\nb send 4 gone e0\nb send 5 gone e1\ne0 expect end\ne1 expect end\n"
             f"c0 send INVITE 1 Subject={name} X-Patience=600\nc0 send INVITE 2 Subject=no.such.class"
         )
-        said = sorted(s.next("c0") for _ in range(2))
-        assert all(a.startswith("SIP/2.0 503") for a in said), said
-        for answer in said:
-            assert ("X-Later-Ms" in answer) <= (advised > 0), answer
-        own = next(a for a in said if call_id(1) in a)
-        assert (f"X-Later-Ms: {advised:.0f}|" in own) == (advised > 0), own
-        for n in range(100, 165):  # one more than one connection may have open before any call stood there
+        answers = sorted(s.next("c0") for _ in range(2))
+        assert all(a.startswith("SIP/2.0 503") for a in answers), answers
+        for answer in answers:
+            assert ("X-Later-Ms" in answer) <= (retry_after > 0), answer
+        own = next(a for a in answers if call_id(1) in a)
+        assert (f"X-Later-Ms: {retry_after:.0f}|" in own) == (retry_after > 0), own
+        for n in range(
+            100, 165
+        ):  # one more than a connection may have open before a call is established on it
             s.play(f"c1 send INVITE {n} Subject={name} X-Patience=600")
         first = s.next("c1")
-        assert call_id(164) in first and ("X-Later-Ms" in first) == (advised > 0), first
+        assert call_id(164) in first and ("X-Later-Ms" in first) == (retry_after > 0), first
         s.play("e0 expect nothing 50\ne1 expect nothing 50")
 
 
-@EACH
-def test_a_stop_answers_what_is_open_and_ends_by_the_longest_deadline_of_these_settings(variant):
-    deadline = max(min(one.get("hard_limit", 3000.0), 3000.0) for one in variant["settings"]["lanes"])
+@EACH_VARIANT
+def test_a_stop_answers_open_calls_and_ends_by_the_longest_deadline_of_the_settings(variant):
+    deadline = max(min(info.get("hard_limit", 3000.0), 3000.0) for info in variant["settings"]["lanes"])
     with stage(variant) as s:
         name = next(classes(variant))[0]
         s.play(f"c0 send INVITE 1 Subject={name} X-Patience=60000 X-Facts=dest:0\ne0 expect SET_UP {{1}}")
-        began = time.monotonic()
-        s.play("p send SIGTERM\nc1 send INVITE 2 X-Patience=200 Subject=" + name)  # it is still taken in
+        started_at = time.monotonic()
+        s.play("p send SIGTERM\nc1 send INVITE 2 X-Patience=200 Subject=" + name)  # it is still accepted
         s.play("c0 expect SIP/2.0 (503|500).*INVITE")
         s.next("c1")
         assert s.program.wait(5) == 0
-        assert time.monotonic() - began <= deadline / 1000 + 0.7, "SIGKILL would have come first"
+        assert time.monotonic() - started_at <= deadline / 1000 + 0.7, "SIGKILL would have come first"
 
 
 @pytest.mark.parametrize(
@@ -222,16 +231,16 @@
         ("limits", []),
     ],
 )
-def test_settings_that_can_not_be_taken_are_one_line_that_names_the_key(key, bad, tmp_path):
-    made = {
+def test_invalid_settings_are_reported_in_one_line_that_names_the_key(key, bad, tmp_path):
+    config = {
         "name": "n",
         "listen": "127.0.0.1:1",
         "board": "127.0.0.1:1",
         "settings": {"lanes": [lane("x")]} | {key: bad},
     }
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(made))
-    done = subprocess.run(
+    file.write_text(json.dumps(config))
+    process = subprocess.run(
         [sys.executable, "-m", "softswitch"],
         cwd=ROOT,
         capture_output=True,
@@ -239,5 +248,5 @@
         timeout=20,
         env={"BALANCER_CONFIG": str(file), "PATH": "/usr/bin:/bin"},
     )
-    line = done.stderr.strip()
-    assert done.returncode == 2 and "\n" not in line and f"settings.{key}" in line, line
+    line = process.stderr.strip()
+    assert process.returncode == 2 and "\n" not in line and f"settings.{key}" in line, line
