--- a/softswitch/core/policy_executor.py
+++ b/softswitch/core/policy_executor.py
@@ -32,7 +32,7 @@
 from softswitch.core.timer_wheel import TimerWheel
 from softswitch.limits.call_limits import CallLimits
 from softswitch.policy.controller import Controller
-from softswitch.policy.state import EJECTION_FAULTS
+from softswitch.policy.state import EJECTION_FAILURES
 
 RETRY_DELAY_SLACK = 60.0  # ms added to retry_delay: time limits on sockets are 50 ms longer, ticks are coarse
 # Notes in the release of an engine.
@@ -223,7 +223,7 @@
     def _fail_and_forget(self, call: Call, reason: FailureReason, retry_after: float = 0.0) -> None:
         """Like `_fail`, but also removes the call from the decision module."""
         self._fail(call.id, reason, retry_after)
-        self._feed(i.CallerLeft(call.id))
+        self._feed(i.CallerAbandoned(call.id))
 
     def _answer_failed(self, call: Call, reason: FailureReason, retry_after: float) -> None:
         """Sends the one final answer of a call that is not established, and removes the call."""
@@ -280,7 +280,7 @@
         """Copies the counters that the call limits maintain."""
         self.counters[Count.BUSY_NUMBER_REJECTED] = self.limits.numbers.rejected
         self.counters[Count.BUSY_NUMBER_PROBES] = self.limits.numbers.probes
-        self.counters[Count.OVER_QUOTA] = self.limits.tenants.over
+        self.counters[Count.OVER_QUOTA] = self.limits.tenants.over_quota_calls
 
     def report_figures(self) -> dict[str, Any]:
         """Returns the figures for operators."""
@@ -291,5 +291,5 @@
         """Counts the engines that get no calls: draining, ejected, or closed at their own request."""
         gates = [self.controller.gates.get(server) for server in servers]
         ready = [g for g in gates if g is not None and g.state is i.EndpointState.READY]
-        used = [g for g in ready if g.faults < EJECTION_FAULTS and self.wheel.now >= g.closed_until]
+        used = [g for g in ready if g.failures < EJECTION_FAILURES and self.wheel.now >= g.closed_until]
         return len(servers) - len(used)
