--- a/softswitch/policy/controller.py
+++ b/softswitch/policy/controller.py
@@ -17,7 +17,7 @@
     def __init__(self, settings: i.Settings, seed: int, limits: i.CallLimits = i.NO_CALL_LIMITS) -> None:
         super().__init__(settings, seed)
         self.limits = limits
-        self.max_timeout: dict[str, float] = {}  # longest timeout seen by class, without redials
+        self.max_timeout: dict[str, float] = {}  # longest timeout of a first try, by class
         self.queued: dict[str, Call] = {}  # calls with no attempt in flight, in order of arrival
         self.stacks: dict[tuple[str, float, int], list[Call]] = {}  # calls ready to send, newest last
         self.delayed: list[Call] = []  # queued calls that wait for retry_delay
@@ -71,7 +71,7 @@
         if event.call in self.calls:
             return
         wait = self.limits.admit(now, event, call_class, self.constraints) if call_class else 0.0
-        if call_class is None or wait:  # the retry-after time is when the quota opens
+        if call_class is None or wait:  # the caller may retry when the quota opens
             self.actions.append(i.Reject(event.call, min(wait, self.settings.retry_after)))
             return
         weight = self.limits.weight_of(now, event, call_class, self.call_share)
@@ -128,10 +128,7 @@
                     self.actions.append(i.CancelAttempt(call.id, call.attempts - 1))
 
     def _stuck(self, now: float, call: Call, gate: Gate) -> bool:
-        """Whether the call should move to another endpoint, as its attempt is lost or unanswered.
-
-        An unanswered attempt is cancelled at the last moment that leaves time for another endpoint.
-        """
+        """Whether to cancel the attempt: lost, or unanswered with just enough time left for another one."""
         sent_at = gate.in_flight.get((call.id, call.attempts - 1), now)
         objective = call.call_class.latency_objective * (1 - ANSWER_RESERVE)
         remaining = call.received_at + objective - self.settings.retry_delay - now
@@ -183,7 +180,7 @@
         if gate is not None:
             self._send(now, call, gate)
         elif ready and now >= call.give_up_at:
-            self._give_up(call)  # it waited here, as waiting at an endpoint causes retransmissions
+            self._give_up(call)  # calls wait here, as those that wait at an endpoint are retransmitted
         elif ready:
             self.max_blocked_weight = max(self.max_blocked_weight, call.weight)
         return gate is not None
@@ -204,9 +201,8 @@
         self.actions.append(i.SendAttempt(call.id, gate.server))
 
     def _give_up(self, call: Call, late: bool = False) -> None:
-        failed = call.unsafe or (
-            late and (call.may_have_run or call.gate is not None)
-        )  # never sent: rejected
+        # A late call that was never sent is rejected.
+        failed = call.unsafe or (late and (call.may_have_run or call.gate is not None))
         self.actions.append(i.Fail(call.id) if failed else i.Reject(call.id, self.settings.retry_after))
         self._forget(call.id)
 
--- a/softswitch/policy/endpoints.py
+++ b/softswitch/policy/endpoints.py
@@ -12,7 +12,7 @@
 HEADROOM = 1.25  # rate of call setups to an overloaded endpoint, as a multiple of its known capacity
 SLOW_START_SAFETY = 0.85  # fraction of the slow start budget that is used: the estimates are rough
 SLOW_START_LIFETIME = 0.25  # fraction of overload_window after which an unused slow start permit expires
-MIN_USED = 0.1  # fraction of its circuits that an endpoint can fill, as long as no circuits in use were seen
+MIN_USED = 0.1  # minimum fraction of its circuits that an endpoint is assumed to fill, without observations
 MAX_REMOVED_GATES = 8  # retained: the circuits used in their cell indicate the capacity of a replacement
 
 
@@ -50,7 +50,7 @@
     if gate.answered_at > LONG_AGO:
         gate.answer_interval += (now - gate.answered_at - gate.answer_interval) / 5
     gate.answered_at = now
-    if gate.circuits_reported_at == LONG_AGO:  # assumes that all softswitches have as many calls
+    if gate.circuits_reported_at == LONG_AGO:  # assumes that all softswitches have equally many calls
         used = gate.established * state.settings.fleet_size
         gate.max_used_circuits = max(0.98 * gate.max_used_circuits, used)
     if sent_at is None:
