--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -46,7 +46,7 @@
     return f"{int(n):016x}"
 
 
-def written(address):
+def format_address(address):
     return f"{address[0]}:{address[1]}"
 
 
@@ -214,7 +214,7 @@
             ">I4sHBBBHIQ",
             n,
             socket.inet_aton(self.stage.host),
-            self.stage.doors[name].getsockname()[1],
+            self.stage.listeners[name].getsockname()[1],
             STATES[state],
             0,
             0,
@@ -233,7 +233,9 @@
     ):
         # Its own: a program that still dials a port of a stand-in that has closed reaches no other's.
         self.host = own_host()
-        self.doors = {name: listener(self.host) for name in (*(f"e{n}" for n in range(engines)), "b", "b2")}
+        self.listeners = {
+            name: listener(self.host) for name in (*(f"e{n}" for n in range(engines)), "b", "b2")
+        }
         self.command = command
         self.parties, self.hook, self.dir = {}, None, tempfile.TemporaryDirectory()
         spare = [listener(self.host) for _ in range(3)]
@@ -243,7 +245,7 @@
         hosts = [
             {
                 "host": f"s-{n:08x}",
-                "dial": written(self.doors[f"e{n}"].getsockname()),
+                "dial": format_address(self.listeners[f"e{n}"].getsockname()),
                 "site": "z",
                 "class": "m",
                 "block": n,
@@ -255,18 +257,18 @@
         ]
         made = {
             "name": "n0",
-            "listen": written(self.sip),
+            "listen": format_address(self.sip),
             "seed": "1f",
-            "mgmt": written(self.mgmt),
-            "board": written(self.doors["b"].getsockname()),
+            "mgmt": format_address(self.mgmt),
+            "board": format_address(self.listeners["b"].getsockname()),
             "settings": INFO | (settings or {}),
             "known": {"rev": 3, "notices": [{"rev": 3, "pool": {"whole": True, "hosts": hosts}}]},
         }
         self.config = Path(self.dir.name, "config.json")
-        self.made = made | (config or {})
-        self.config.write_text(json.dumps(self.made))
+        self.config_document = made | (config or {})
+        self.config.write_text(json.dumps(self.config_document))
         toml = Path(self.dir.name, "control.toml")
-        toml.write_text(f'listen = "{written(self.web)}"\n{control}')
+        toml.write_text(f'listen = "{format_address(self.web)}"\n{control}')
         self.log = open(Path(self.dir.name, "log"), "w+")
         given = os.environ | {"BALANCER_CONFIG": str(self.config), "SOFTSWITCH_CONTROL": str(toml)}
         self.env = given | (env or {})
@@ -287,12 +289,12 @@
         self.program.wait()
         for party in self.parties.values():
             party.sock.close()
-        for door in self.doors.values():
+        for door in self.listeners.values():
             door.close()
         self.log.close()
         self.dir.cleanup()
 
-    def said(self):
+    def log_text(self):
         return Path(self.log.name).read_text()
 
     def party(self, name, **more):
@@ -305,12 +307,12 @@
                     sock = socket.create_connection(address)
                     break
                 except ConnectionRefusedError:
-                    assert time.monotonic() < until and self.program.poll() is None, self.said()
+                    assert time.monotonic() < until and self.program.poll() is None, self.log_text()
                     time.sleep(0.02)
             kind = {"c": Sip, "w": Desk, "m": Operator}[name[0]]
             party = self.parties[name] = kind(self, sock, **more)
             while name[0] == "w" and party.ws.state is ConnectionState.CONNECTING:
-                assert time.monotonic() < until, self.said()
+                assert time.monotonic() < until, self.log_text()
                 self.pump(0.1)
         return self.parties.get(name)
 
@@ -319,7 +321,7 @@
         for name in {"b", "b2"} & set(self.parties):
             self.parties[name].beat()
         open_ = {p.sock: (name, p) for name, p in self.parties.items() if p.sock.fileno() >= 0}
-        doors = {s: name for name, s in self.doors.items() if s.fileno() >= 0}
+        doors = {s: name for name, s in self.listeners.items() if s.fileno() >= 0}
         ended = {}  # what parties heard to the last whose next connection comes in the same round
         for sock in select.select([*open_, *doors], [], [], seconds)[0]:
             if sock in doors:
@@ -363,13 +365,15 @@
             elif verb == "close":
                 self.parties.pop(name).sock.close()
             elif name == "p" and verb == "config":  # the board's door, or a text that is the whole file
-                board = self.doors.get(rest) and {"board": written(self.doors[rest].getsockname())}
-                self.config.write_text(json.dumps(self.made | board) if board else rest)
+                board = self.listeners.get(rest) and {
+                    "board": format_address(self.listeners[rest].getsockname())
+                }
+                self.config.write_text(json.dumps(self.config_document | board) if board else rest)
                 self.program.send_signal(signal.SIGHUP)
             elif name == "p" and verb == "send":
                 self.program.send_signal(getattr(signal, rest))
             elif name == "p":
-                assert self.program.wait(PATIENCE) == int(rest), self.said()
+                assert self.program.wait(PATIENCE) == int(rest), self.log_text()
             elif verb == "send":
                 until = time.monotonic() + PATIENCE
                 while self.party(name) is None and time.monotonic() < until:
@@ -380,4 +384,4 @@
                 assert came is None, f"{line}: {came!r}"
             else:
                 came = self.next(name)
-                assert came is not None and re.search(rest, came), f"{line}: {came!r}\n{self.said()}"
+                assert came is not None and re.search(rest, came), f"{line}: {came!r}\n{self.log_text()}"
--- a/tests/test_budget_processes.py
+++ b/tests/test_budget_processes.py
@@ -10,7 +10,7 @@
 from contextlib import ExitStack, contextmanager
 
 import pytest
-from support.harness import ROOT, written
+from support.harness import ROOT, format_address
 from test_fleet_processes import Process, own, until
 
 from softswitch.operator.load import BadOperatorFile, of_text
@@ -22,7 +22,7 @@
 @contextmanager
 def budgeted(folder, budgets, count=3):
     at = [own() for _ in range(count)]
-    everyone = json.dumps([written(a) for a in at])
+    everyone = json.dumps([format_address(a) for a in at])
     tables = (
         f"budgets = {json.dumps(budgets)}\n"
         f'allocation = {{"members": {everyone}, "voters": {everyone}, '
@@ -55,7 +55,10 @@
         # come.
         until(lambda: budgets(made[0])[1]["budgets"]["quotes"]["sum"] >= 1, logs)
         until(lambda: budgets(*made)[1]["in_office"], logs)
-        until(lambda: budgets(made[0])[1]["budgets"]["quotes"]["held"][written(made[0].at)]["leased"], logs)
+        until(
+            lambda: budgets(made[0])[1]["budgets"]["quotes"]["held"][format_address(made[0].at)]["leased"],
+            logs,
+        )
         code, found = budgets(*made)
         assert code == 0
         assert found["budgets"]["quotes"]["whole"] == 10 >= found["budgets"]["quotes"]["sum"]
@@ -69,7 +72,7 @@
             written_there.append(came)
         assert 1 <= sum(came.startswith("SET_UP") for came in written_there) <= 10
         first = found["in_office"][0]
-        dead = next(p for p in made if written(p.at) == first)
+        dead = next(p for p in made if format_address(p.at) == first)
         others = [p for p in made if p is not dead]
         dead.stage.program.send_signal(signal.SIGKILL)
         dead.stage.program.wait()
@@ -133,15 +136,15 @@
         stage = made[0].stage
         old, before = stage.program, made[0].mgmt
         at = own()
-        stage.start({"BALANCER_MGMT": written(at)})
+        stage.start({"BALANCER_MGMT": format_address(at)})
         until(lambda: "the next process takes the callers" in made[0].said(), logs)
-        both = [budgets_of(m)["quotes"] for m in (before, written(at))]
+        both = [budgets_of(m)["quotes"] for m in (before, format_address(at))]
         assert sum(b["held"] - b["leased"] for b in both) <= 2, both
         old.send_signal(signal.SIGTERM)
         assert old.wait(15) == 0
-        now = written(at)
+        now = format_address(at)
         until(lambda: (b := budgets_of(now)["quotes"])["held"] - b["leased"] == 2 and b["leased"], logs)
-        assert sum(budgets_of(m)["quotes"]["held"] for m in (written(at), made[1].mgmt)) <= 20
+        assert sum(budgets_of(m)["quotes"]["held"] for m in (format_address(at), made[1].mgmt)) <= 20
 
 
 def budgets_of(mgmt):
--- a/tests/test_call_endings.py
+++ b/tests/test_call_endings.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from support.harness import INFO, ROOT, Sip, Stage, call_id, written
+from support.harness import INFO, ROOT, Sip, Stage, call_id, format_address
 
 from softswitch.standin.addresses import own_host
 
@@ -128,7 +128,7 @@
             "c0 expect 200 OK.*INVITE\ne0 send RELEASE 2 31=34\nc1 expect SIP/2.0 503"
         )
         s.play("e0 send RELEASE 1 31=16\nc0 expect BYE.*{1}\np expect 0")
-        assert s.said().count("asked to stop") == 1
+        assert s.log_text().count("asked to stop") == 1
 
 
 def test_half_a_set_up_and_those_that_lie_unread_at_sigterm_are_served():
@@ -149,13 +149,13 @@
             s.program.send_signal(signal.SIGTERM)
             s.parties["c2"].sock.sendall(invite(2, patience=3000))
             s.party("c3").sock.sendall(invite(3, patience=3000))  # not even its connection is accepted
-        while "asked to stop" not in s.said():
+        while "asked to stop" not in s.log_text():
             s.pump(0.01)
         s.parties["c1"].sock.sendall(whole[60:])
         until = time.monotonic() + 3.0
         while len(stood) < 3 and time.monotonic() < until:
             s.pump(0.05)
-        assert stood == {"c1", "c2", "c3"}, s.said()
+        assert stood == {"c1", "c2", "c3"}, s.log_text()
         assert s.program.wait(3) == 0
 
 
@@ -183,7 +183,7 @@
 @pytest.mark.parametrize("kind", ["down", "silent", "never up"])
 def test_a_start_without_discovery_serves_by_the_list_it_was_given(kind):
     door, filling = unheard(kind)
-    with Stage(engines=1, config={"board": written(door.getsockname())}) as s:
+    with Stage(engines=1, config={"board": format_address(door.getsockname())}) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK.*INVITE")
     for sock in (door, *filling):
         sock.close()
@@ -192,9 +192,9 @@
 def test_without_any_list_it_is_not_ready_until_the_board_has_told_one():
     s = Stage(engines=1, config={"known": {"rev": 0, "notices": []}})
     try:
-        door = s.doors.pop("b")  # the board says nothing yet
+        door = s.listeners.pop("b")  # the board says nothing yet
         s.play("c0 send OPTIONS\nc0 expect 503")
-        s.doors["b"] = door
+        s.listeners["b"] = door
         s.play("b expect after 0\nb send 1 ready e0\n")
         while "e0" not in s.parties:
             s.pump(0.05)
@@ -259,15 +259,15 @@
 def test_sighup_during_the_start_is_carried_out_once_it_serves(at):
     with started(at, "SIGHUP") as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}")
-        assert s.said().count("configuration reloaded") == 1, s.said()
+        assert s.log_text().count("configuration reloaded") == 1, s.log_text()
 
 
 @pytest.mark.parametrize("at", ["softswitch.lazy_import", "softswitch.net.sip_server"])
 def test_sigterm_during_the_start_ends_it_in_good_order_before_anybody_was_let_in(at):
     stage = started(at, "SIGTERM")
     try:
-        assert stage.program.wait(5) == 0, stage.said()
-        assert "serves at" not in stage.said()
+        assert stage.program.wait(5) == 0, stage.log_text()
+        assert "serves at" not in stage.log_text()
     finally:
         stage.__exit__()
 
@@ -358,7 +358,7 @@
 def test_left_while_waiting_for_a_connection_that_comes_up_late(leave):
     with Stage(engines=1, settings=SLOW) as s:
         s.play("e0 wait 50")
-        door = s.doors.pop("e0")
+        door = s.listeners.pop("e0")
         filling = fill(door)
         s.parties.pop("e0").sock.close()  # the program opens a new one, which does not come up
         s.play(f"c0 wait 100\nc0 send INVITE 1 X-Patience={PATIENCE}\nc0 send OPTIONS\nc0 expect 200")
@@ -367,7 +367,7 @@
             door.accept()[0].close()
             sock.close()
         door.listen(64)
-        s.doors["e0"] = door  # now it may; the kernel tries again within a second or two
+        s.listeners["e0"] = door  # now it may; the kernel tries again within a second or two
         s.play("c8 send INVITE 2\ne0 expect SET_UP {2}")
         nothing_more(s, "e0", [1])
 
@@ -381,7 +381,7 @@
     """
     with Stage(engines=1, settings=SLOW) as s:
         s.play("e0 wait 50")
-        door = s.doors.pop("e0")
+        door = s.listeners.pop("e0")
         filling = fill(door)
         s.parties.pop("e0").sock.close()
         s.play("c0 wait 100\nc0 send INVITE 1 X-Patience=700\nc0 expect SIP/2.0 503.*{1}.*X-Later-Ms")
@@ -426,7 +426,7 @@
             s.play("e0 send ANSWER 1 33=d\ne0 send ANSWER 2 33=e")
             reset(s, 1)
         s.play("c1 expect 200 OK.*{2}.*e$\ne0 send RELEASE 1 31=16\ne0 send RELEASE 2 31=16\nc1 expect BYE")
-        assert "fault" not in s.said()
+        assert "fault" not in s.log_text()
 
 
 def test_a_caller_that_reads_no_answer_is_let_go_in_time_and_keeps_nobody_waiting():
@@ -445,7 +445,7 @@
 
         s.hook = answer
         until = time.monotonic() + 10.0
-        while "answers unread for" not in s.said():
+        while "answers unread for" not in s.log_text():
             assert time.monotonic() < until
             s.pump(0.01)
             try:
@@ -457,7 +457,7 @@
         s.play(
             "c1 send INVITE 900\ne0 expect SET_UP {900}\ne0 send ANSWER 900 33=d\nc1 expect 200 OK.*INVITE"
         )
-        assert s.said().count("answers unread for") == 1
+        assert s.log_text().count("answers unread for") == 1
         c.close()
 
 
@@ -504,7 +504,7 @@
 def test_a_call_that_goes_back_to_an_engine_that_refuses_connections_is_not_forgotten_there():
     with Stage(engines=1, settings={"limits": INFO["limits"] | {"send_cap": 6}}) as s:
         s.play("c0 send OPTIONS\nc0 expect 200\ne0 wait 20")
-        s.doors.pop("e0").close()
+        s.listeners.pop("e0").close()
         s.parties.pop("e0").sock.close()
         s.play("c0 wait 30\nc0 send INVITE 1\nc0 send INVITE 2")
         began = time.monotonic()
@@ -515,7 +515,7 @@
 def test_releases_beyond_what_is_kept_for_an_engine_that_does_not_come_up_are_counted():
     with Stage(engines=1, settings=SLOW) as s:
         s.play("e0 wait 50")
-        door = s.doors.pop("e0")
+        door = s.listeners.pop("e0")
         filling = fill(door)
         s.parties.pop("e0").sock.close()  # the program opens a new one, which does not come up
         s.play("c0 wait 100")
@@ -528,8 +528,8 @@
         while "OPTIONS" not in (s.next("c0") or "OPTIONS"):
             pass
         s.play("p send SIGUSR1\nc0 wait 100")
-        assert '"releases to engines dropped":10,' in s.said(), s.said()[-500:]
-        assert '"heir releases":4096' in s.said()
+        assert '"releases to engines dropped":10,' in s.log_text(), s.log_text()[-500:]
+        assert '"heir releases":4096' in s.log_text()
         for sock in (door, *filling):
             sock.close()
 
@@ -611,7 +611,7 @@
 
 def board_record(stage, ident, door, state, cell):
     """One line of the board's list, for an engine of any id at any of the stage's addresses."""
-    port = stage.doors[door].getsockname()[1]
+    port = stage.listeners[door].getsockname()[1]
     return struct.pack(
         ">I4sHBBBHIQ", ident, socket.inet_aton(stage.host), port, state, 0, 0, cell, 1000, 0
     ).hex()
@@ -672,7 +672,7 @@
             "b send 5 gone e1\ne0 expect end\ne1 expect end\n"
             "c0 send INVITE 1\ne0 expect nothing 150\ne1 expect nothing 150"
         )
-        assert "events after 3 are missing before" in s.said()
+        assert "events after 3 are missing before" in s.log_text()
         # the next ones it leaves out at each try: they are asked for once, then taken for none
         s.play("b send 9 ready e0\nb expect end\nb expect after 5\nb send 9 ready e0\ne0 expect SET_UP {1}")
 
@@ -703,7 +703,7 @@
             f"b expect after 3\nb send raw - {frame}\nb expect end\nb expect after 3\nb send 4 gone e0\n"
             "e0 expect end\nc0 send INVITE 1\ne1 expect SET_UP {1}"
         )
-        assert s.said().count("connection closed") == 1
+        assert s.log_text().count("connection closed") == 1
 
 
 def test_a_new_watch_that_says_nothing_is_left_too():
@@ -715,5 +715,5 @@
             silent.append(s.parties["b"])
             s.play("b expect end\nb expect after 3")
         s.play("b send 4 gone e0\ne0 expect end")
-        assert s.said().count("silent for") == 2
+        assert s.log_text().count("silent for") == 2
         assert len(silent) == 2
--- a/tests/test_call_history.py
+++ b/tests/test_call_history.py
@@ -80,7 +80,7 @@
     star.write_text('calls = {"file": "/dev/full", "every_s": 0.1}\n')
     with Stage(env={"SOFTSWITCH_OPERATOR": str(star)}) as s:
         s.play(CALL + "c0 wait 400" + CALL.replace(" 1", " 2").replace("{1}", "{2}") + "c0 wait 400")
-        assert s.said().count("calls: lives not written") == 1
+        assert s.log_text().count("calls: lives not written") == 1
 
 
 def test_without_a_table_no_part_is_loaded():
--- a/tests/test_call_limits.py
+++ b/tests/test_call_limits.py
@@ -277,7 +277,7 @@
                 c0 expect 200 .*{{{n}}}
                 """)
         s.play("p send SIGUSR1\nc0 wait 200")
-        assert '"beyond their tenant\'s quota":' in s.said()
+        assert '"beyond their tenant\'s quota":' in s.log_text()
 
 
 def test_an_account_without_a_quota_has_no_limit():
@@ -297,7 +297,7 @@
 def test_wrong_accounts_are_refused_with_their_key_and_lose_no_call(accounts, key):
     with Stage(engines=1) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}")
-        wrong = s.made | {"settings": INFO | {"accounts": accounts}}
+        wrong = s.config_document | {"settings": INFO | {"accounts": accounts}}
         s.play(f"p config {json.dumps(wrong)}")
         s.play("c0 wait 200\ne0 send ANSWER 1 33=d\nc0 expect 200 .*{1}")
-        assert key in s.said()
+        assert key in s.log_text()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -18,8 +18,8 @@
     def play(self, scenario, **stage):
         with Stage(**stage) as s:
             s.play(scenario)
-            assert s.program.poll() is None and "ERROR" not in s.said(), s.said()
-            return s.said()
+            assert s.program.poll() is None and "ERROR" not in s.log_text(), s.log_text()
+            return s.log_text()
 
     def test_place_stands_released_by_the_engine(self):
         self.play("""
@@ -193,11 +193,11 @@
             del s.parties["w0"]  # its answers are read no more
             sock.settimeout(0.2)
             began = time.monotonic()
-            while "control client" not in s.said() and time.monotonic() - began < 20:
+            while "control client" not in s.log_text() and time.monotonic() - began < 20:
                 with contextlib.suppress(OSError):
                     sock.sendall(big)
                 s.pump(0.01)
-            assert "unread, connection closed" in s.said() or "unread" in s.said(), s.said()
+            assert "unread, connection closed" in s.log_text() or "unread" in s.log_text(), s.log_text()
             s.play("w1 send watch 1\nw1 expect stands")
             sock.close()
 
@@ -221,7 +221,7 @@
         for bad in ("most_sockets = 0", "strange = 1", "keep_s = [", 'most_open = "many"'):
             stage = Stage(control=bad)
             with self.subTest(bad):
-                assert stage.program.wait(10) == 2 and stage.said().count("\n") == 1, stage.said()
+                assert stage.program.wait(10) == 2 and stage.log_text().count("\n") == 1, stage.log_text()
             stage.__exit__()
 
 
@@ -262,7 +262,7 @@
                 s.party(f"w{n}")
             s.hook, until = self.heard, time.monotonic() + self.SECONDS
             while len(self.done) < 2 * self.EACH:
-                assert time.monotonic() < until, (len(self.done), self.open, s.said())
+                assert time.monotonic() < until, (len(self.done), self.open, s.log_text())
                 while len(self.open) < self.AT_ONCE and self.next_call < 2 * self.EACH:
                     self.place(self.next_call)
                     self.next_call += 1
@@ -273,7 +273,7 @@
             settle = time.monotonic() + 0.5
             while time.monotonic() < settle:
                 s.pump(0.05)
-            assert "ERROR" not in s.said(), s.said()
+            assert "ERROR" not in s.log_text(), s.log_text()
         self.check()
 
     def place(self, n):
--- a/tests/test_environment.py
+++ b/tests/test_environment.py
@@ -21,5 +21,5 @@
 
 def test_the_program_reads_a_deprecated_name_and_says_so_in_one_line():
     with Stage(engines=1, env={"WILLOWHITCH_LOG": "INFO"}) as s:
-        said = s.said()
+        said = s.log_text()
     assert said.count("environment: WILLOWHITCH_LOG deprecated, use SOFTSWITCH_*") == 1, said
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -12,7 +12,7 @@
 from contextlib import ExitStack, contextmanager
 
 import pytest
-from support.harness import ROOT, Stage, written
+from support.harness import ROOT, Stage, format_address
 
 from softswitch.standin.addresses import own_hosts
 
@@ -41,8 +41,8 @@
         self.folder, self.n, self.at = folder, n, at
         table = {
             "name": fleet,
-            "address": written(at),
-            "seeds": [written(s) for s in seeds],
+            "address": format_address(at),
+            "seeds": [format_address(s) for s in seeds],
             "site": "ab"[n % 2],
             "folder": f"state{n}",
             "period_ms": 200,
@@ -58,10 +58,10 @@
 
     @property
     def mgmt(self):
-        return written(self.stage.mgmt)
+        return format_address(self.stage.mgmt)
 
     def said(self):
-        return self.stage.said()
+        return self.stage.log_text()
 
 
 @contextmanager
@@ -125,7 +125,7 @@
         until(lambda: states(made, *made) == {"n0": "alive", "n1": "alive", "n2": "alive"}, made[0].said)
         stage = made[2].stage
         old = stage.program
-        stage.start({"BALANCER_MGMT": written(own())})
+        stage.start({"BALANCER_MGMT": format_address(own())})
         until(lambda: "the next process takes the callers" in made[2].said(), made[2].said)
         old.send_signal(signal.SIGTERM)
         assert old.wait(15) == 0
@@ -139,8 +139,8 @@
 
         until(came_back, lambda: made[0].said() + made[2].said())
         for p in made[:2]:
-            assert "n2@" + written(made[2].at) + " gone" not in p.said(), p.said()
-            assert "n2@" + written(made[2].at) + " left" not in p.said(), p.said()
+            assert "n2@" + format_address(made[2].at) + " gone" not in p.said(), p.said()
+            assert "n2@" + format_address(made[2].at) + " left" not in p.said(), p.said()
 
 
 def test_another_fleet_a_stranger_and_a_name_that_is_taken(tmp_path):
@@ -253,6 +253,6 @@
     code, said = run("simulate", "--schedule", "/none.json")
     assert code == 2
     assert "/none.json: can't be read" in said
-    code, said = run("view", written(own()), "--json")
+    code, said = run("view", format_address(own()), "--json")
     assert code == 1
     assert "not reached" in said
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -12,9 +12,9 @@
     def play(self, scenario, **stage):
         with Stage(**stage) as s:
             s.play(scenario)
-            assert s.program.poll() in (None, 0), s.said()
-            assert "ERROR" not in s.said(), s.said()
-            return s.said()
+            assert s.program.poll() in (None, 0), s.log_text()
+            assert "ERROR" not in s.log_text(), s.log_text()
+            return s.log_text()
 
 
 class Calls(Scenario):
@@ -159,14 +159,14 @@
     def test_a_dead_engine_cuts_its_calls(self):
         with Stage() as s:
             s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK")
-            s.doors["e0"].close()
+            s.listeners["e0"].close()
             s.play("e0 close\nc0 expect ^BYE .*Call-ID: {1}.*cause=41")
 
     def test_a_silent_engine_is_tested_and_its_calls_released_in_time(self):
         with Stage() as s:
             s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK")
             began = time.monotonic()
-            del s.doors["e0"]  # new connections come up, and nothing comes on them either
+            del s.listeners["e0"]  # new connections come up, and nothing comes on them either
             s.play("e0 expect TEST")
             while (came := s.next("c0", 1.0)) is None:
                 assert time.monotonic() - began < 8.0
@@ -263,7 +263,9 @@
                     f"b expect after 3\np config {bad}\nb expect nothing 300\n"
                     "c0 send INVITE 1\ne0 expect SET_UP {1}"
                 )
-                assert s.said().count("ERROR") == s.said().count("configuration not reloaded") == 1, s.said()
+                assert s.log_text().count("ERROR") == s.log_text().count("configuration not reloaded") == 1, (
+                    s.log_text()
+                )
 
 
 INVITE = r"INVITE sip:7@net SIP/2.0\r\nCall-ID: 0000000000000001\r\n"
@@ -417,7 +419,7 @@
                     "e0 expect SET_UP\ne0 expect SET_UP\n"
                     "e0 send ANSWER 1 33=d\nc0 expect 200 .*Call-ID: {1}"
                 )
-                assert s.said().count("WARNING engine") == 1, s.said()
+                assert s.log_text().count("WARNING engine") == 1, s.log_text()
 
     def test_more_than_belongs_to_an_answer_is_dropped_and_the_good_one_counts_once(self):
         self.play("""
@@ -459,7 +461,9 @@
             stage = Stage(config=config)
             with self.subTest(config):
                 assert stage.program.wait(10) == 2
-                assert stage.said().count("\n") == 1 and "Traceback" not in stage.said(), stage.said()
+                assert stage.log_text().count("\n") == 1 and "Traceback" not in stage.log_text(), (
+                    stage.log_text()
+                )
             stage.__exit__()
 
 
@@ -480,7 +484,7 @@
                 c1 expect nothing 100
                 p expect 0
                 """)
-            assert s.said().count("counters {") == 2
+            assert s.log_text().count("counters {") == 2
 
     def test_the_end_comes_before_sigkill_also_where_deadlines_are_short(self):
         # guards against a stop that waits for calls that stand until it is killed, 0.7 s after the deadline
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from support.harness import Stage, call_id, written
+from support.harness import Stage, call_id, format_address
 from support.settings import INFO
 
 STAYS = {"limits": INFO["limits"] | {"may_cancel": False}}  # a call that others overtake is not sent anew
@@ -96,20 +96,20 @@
     for at, env in (("here", None), ("", "127.0.0.1:99999"), ("203.0.113.1:80", None)):
         stage = Stage(config={"mgmt": at}, env={"BALANCER_MGMT": env} if env else None)
         assert stage.program.wait(10) == 2
-        assert stage.said().count("\n") == 1 and "mgmt" in stage.said(), stage.said()
+        assert stage.log_text().count("\n") == 1 and "mgmt" in stage.log_text(), stage.log_text()
         stage.__exit__()
 
 
 def test_an_unknown_way_to_hand_over_is_one_plain_line():
     stage = Stage(env={"SOFTSWITCH_HANDOVER": "reuse"})
     assert stage.program.wait(10) == 2
-    assert stage.said().count("\n") == 1 and "SOFTSWITCH_HANDOVER" in stage.said(), stage.said()
+    assert stage.log_text().count("\n") == 1 and "SOFTSWITCH_HANDOVER" in stage.log_text(), stage.log_text()
     stage.__exit__()
 
 
 def test_without_an_address_nothing_listens():
     with Stage(config={"mgmt": ""}) as s:
-        assert "management" not in s.said()
+        assert "management" not in s.log_text()
 
 
 def test_figures_count_each_call_once_whichever_way_it_ends():
@@ -209,12 +209,12 @@
 def settled(stage, settings):
     """Replaces the settings in the file, sends SIGHUP and waits until it was taken in or turned down."""
     before = figures(stage)
-    stage.play("p config " + json.dumps(stage.made | {"settings": settings}))
+    stage.play("p config " + json.dumps(stage.config_document | {"settings": settings}))
     until = time.monotonic() + 3
     while (now := figures(stage))["cfg_accepted"] + now["cfg_invalid"] == before["cfg_accepted"] + before[
         "cfg_invalid"
     ]:
-        assert time.monotonic() < until, stage.said()
+        assert time.monotonic() < until, stage.log_text()
     return now["cfg_accepted"] - before["cfg_accepted"], now["cfg_invalid"] - before["cfg_invalid"]
 
 
@@ -289,25 +289,25 @@
         with Stage(engines=1) as s:
             for line, change in part:
                 assert settled(s, INFO | {"lanes": lanes} | change) == (0, 1), line
-                assert line in s.said(), (line, s.said())
+                assert line in s.log_text(), (line, s.log_text())
 
 
 def test_a_file_that_is_cut_or_lacks_a_part_leaves_board_list_and_settings_alone():
     with Stage(engines=1) as s:
         s.play("b expect after 3")
-        whole = json.dumps(s.made)
+        whole = json.dumps(s.config_document)
         texts = [
             "",
             whole[: len(whole) // 2],
             "[]",
             whole.replace("9000.0", "NaN"),
             whole.replace("9000.0", "1e999"),
-            json.dumps({k: v for k, v in s.made.items() if k != "board"}),
-            json.dumps(s.made | {"settings": None, "board": "127.0.0.1:9"}),
+            json.dumps({k: v for k, v in s.config_document.items() if k != "board"}),
+            json.dumps(s.config_document | {"settings": None, "board": "127.0.0.1:9"}),
         ]
         for n, text in enumerate(texts):
             s.play(f"p config {text}\np wait 80")
-            assert figures(s)["cfg_invalid"] == n + 1, (text[:60], s.said())
+            assert figures(s)["cfg_invalid"] == n + 1, (text[:60], s.log_text())
         s.play(
             "b send 4 draining e0\nb wait 50\nc0 send INVITE 1\nc0 expect SIP/2.0 503\nb expect nothing 50"
         )
@@ -360,14 +360,14 @@
         spare.bind((self.host, 0))
         self.mgmt_old, self.mgmt = self.mgmt, spare.getsockname()
         spare.close()
-        return self.start({"BALANCER_MGMT": written(self.mgmt)})
+        return self.start({"BALANCER_MGMT": format_address(self.mgmt)})
 
     def start_after_stop(self):
         """Stops the process, and starts the one that is to be replaced."""
         self.old.send_signal(signal.SIGTERM)
         until = time.monotonic() + 6
         while self.old.poll() is None:
-            assert time.monotonic() < until, self.said()
+            assert time.monotonic() < until, self.log_text()
             self.pump(0.05)
         assert self.old.returncode == 0
         self.parties.clear()
@@ -387,13 +387,13 @@
             self.play("m8 send GET /v1/readyz")
             if self.next("m8").startswith("200"):
                 return
-            assert time.monotonic() < until, self.said()
+            assert time.monotonic() < until, self.log_text()
             time.sleep(0.02)
 
     def heard(self, line):
         until = time.monotonic() + 3
-        while line not in self.said():
-            assert time.monotonic() < until, self.said()
+        while line not in self.log_text():
+            assert time.monotonic() < until, self.log_text()
             self.pump(0.02)
 
     def __exit__(self, *of):
@@ -557,7 +557,7 @@
             except OSError:
                 lost += 1
             count += 1
-            if not termed and "the next process takes the callers" in s.said():
+            if not termed and "the next process takes the callers" in s.log_text():
                 s.old.send_signal(signal.SIGTERM)
                 termed = True
         assert termed
@@ -576,7 +576,7 @@
         s.replace()
         s.ready()
         s.heard("the next process takes the callers")
-        assert "not offered" not in s.said()
+        assert "not offered" not in s.log_text()
         s.play("e1 send RELEASE 1 31=16\nc0 expect ^BYE .*Call-ID: {1}\nc0 send OK 1")
         s.keep_link()
         s.old.send_signal(signal.SIGTERM)
@@ -601,7 +601,7 @@
     stage.start()
     with stage as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}")
-        assert ("not offered" in s.said()) == (what == "missing")
+        assert ("not offered" in s.log_text()) == (what == "missing")
     kept.close()
 
 
@@ -645,7 +645,16 @@
     with Stage(engines=1) as s:
         s.play("b expect after 3")
         record = struct.pack(
-            ">I4sHBBBHIQ", 0, socket.inet_aton(s.host), s.doors["e0"].getsockname()[1], 0, 0, 0, 0, 1000, 0
+            ">I4sHBBBHIQ",
+            0,
+            socket.inet_aton(s.host),
+            s.listeners["e0"].getsockname()[1],
+            0,
+            0,
+            0,
+            0,
+            1000,
+            0,
         )
         frame = struct.pack(">QB", 4, 2) + record
         trickle(s.party("b"), struct.pack(">I", len(frame)) + frame)
@@ -654,8 +663,8 @@
         said = struct.pack(">B", 9) + bytes.fromhex(f"{1:016x}") + struct.pack(">BH", 33, 200) + 200 * b"d"
         trickle(s.party("e0"), struct.pack(">H", len(said)) + said)  # 0.9 s in all
         s.play("c0 expect 200 .*d{200,200}$")
-        assert "cut short" not in s.said()
-        assert "bad frame" not in s.said()
+        assert "cut short" not in s.log_text()
+        assert "bad frame" not in s.log_text()
 
 
 def test_an_answer_in_pieces_for_longer_than_a_silent_link_is_kept_is_read_to_its_end():
@@ -666,4 +675,4 @@
             s.party("e0").sock.sendall(bytes((byte,)))
             time.sleep(0.012)  # 2.5 s in all; 2.1 s without a message were taken for silence
         s.play("c0 expect 200 .*d{200,200}$")
-        assert "connection closed" not in s.said()  # the link's; the board is silent here
+        assert "connection closed" not in s.log_text()  # the link's; the board is silent here
--- a/tests/test_platform_rules.py
+++ b/tests/test_platform_rules.py
@@ -29,7 +29,7 @@
                 p send SIGTERM
                 p expect 0
                 """)
-            said = s.said()
+            said = s.log_text()
         assert said.count("handover: not offered") == 1 and "configuration reloaded" in said, said
         assert "fault" not in said and "ERROR" not in said, said
 
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -93,7 +93,7 @@
                     s.play(CALL.format(n=n))
                     worst = max(worst, time.monotonic() - began)
                 assert n > 50 and worst < 0.5, (n, worst)
-                assert s.said().count("telemetry") <= 1, s.said()  # one line a minute
+                assert s.log_text().count("telemetry") <= 1, s.log_text()  # one line a minute
                 s.play("p send SIGTERM")
                 assert s.program.wait(10) == 0
 
@@ -103,7 +103,7 @@
             assert "opentelemetry" not in maps
             assert len(os.listdir(f"/proc/{s.program.pid}/task")) == 1
         stage = Stage(env=telemetry("nowhere"))
-        assert stage.program.wait(10) == 2 and stage.said().count("\n") == 1, stage.said()
+        assert stage.program.wait(10) == 2 and stage.log_text().count("\n") == 1, stage.log_text()
         stage.__exit__()
 
 
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -204,7 +204,7 @@
         s.start()
         s.parties.clear()
         s.play("c8 send OPTIONS\nc8 expect 200 OK\np send SIGTERM\np expect 0")
-        lines = [json.loads(line) for line in s.said().splitlines()]
+        lines = [json.loads(line) for line in s.log_text().splitlines()]
         assert {line["record"]["extra"]["softswitch"] for line in lines} == {"n0"}
     found = read(file)
     assert len(found.heads) == 2
@@ -227,16 +227,16 @@
     (tmp_path / "t.whtr").mkdir()
     stage = Stage(env={"SOFTSWITCH_OPERATOR": str(star)})
     assert stage.program.wait(10) == 2
-    assert "t.whtr: can't be read" in stage.said()
+    assert "t.whtr: can't be read" in stage.log_text()
     stage.__exit__()
     (tmp_path / "t.whtr").rmdir()
     (tmp_path / "t.whtr").symlink_to(tmp_path / "gone" / "x")  # nothing is there yet, and nothing can be
     with Stage(env={"SOFTSWITCH_OPERATOR": str(star)}) as s:
         for n in range(1, 4):
             s.play(CALL.format(n=n, e=0, more="") + "c0 wait 1100")
-        assert s.said().count("traffic record: not written") == 1, s.said()
+        assert s.log_text().count("traffic record: not written") == 1, s.log_text()
         s.play("p send SIGTERM\np expect 0")
-        assert '"record intervals lost":' in s.said()
+        assert '"record intervals lost":' in s.log_text()
 
 
 def test_a_disk_that_hangs_holds_the_loop_up_in_no_way():
--- a/tests/test_release_delivery.py
+++ b/tests/test_release_delivery.py
@@ -199,8 +199,8 @@
                 if n == 3 and k % 3 == 0:
                     s.play("e0 send STATE 0 21=x0:9;x1:9")  # the link itself is well
             seen.add(s.parties["e0"])
-            assert len(seen) == n, s.said()
-        assert "silent" not in s.said()
+            assert len(seen) == n, s.log_text()
+        assert "silent" not in s.log_text()
         s.play("""
             e0 send RELEASE 1 31=16
             c0 expect ^BYE .*Call-ID: {1}
@@ -245,7 +245,7 @@
             if s.parties["e0"] is not link:
                 break
         ear, s.parties["e0"] = s.parties["e0"], link
-        assert ear is not link, s.said()
+        assert ear is not link, s.log_text()
         ear.sock.close()
         s.play("""
             e0 send STATE 0 21=x0:9;x1:9
@@ -253,7 +253,7 @@
             e0 send RELEASE 1 31=16
             c0 expect ^BYE .*Call-ID: {1}
             """)
-        assert "ERROR" not in s.said(), s.said()
+        assert "ERROR" not in s.log_text(), s.log_text()
 
 
 def test_a_call_that_ended_before_its_answer_came_fails_and_is_not_set_up_again():
