--- a/softswitch/components.py
+++ b/softswitch/components.py
@@ -36,7 +36,7 @@
 }
 
 Table = Any  # one table of the operator file, checked by its schema in `operator.tables`
-Answer = tuple[int, dict[str, Any]]  # of a management call: status, and what goes out as JSON
+ManagementResponse = tuple[int, dict[str, Any]]  # of a management call: status, and what goes out as JSON
 
 
 class ComponentError(Exception):
@@ -64,11 +64,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ComponentCall:
+class ManagementRoute:
     """A management call of a component: its method, and what answers the rest of the path."""
 
     method: str
-    answer: Callable[[str], Answer]
+    handler: Callable[[str], ManagementResponse]
 
 
 def settings_digest(settings: i.Settings) -> str:
@@ -83,11 +83,11 @@
     name: str
     switch: Any  # core.switch.Switch
     reactor: Any
-    offset: float  # the wheel's clock in ms less Unix ms: clock - offset is Unix time
+    unix_offset: float  # the wheel's clock in ms less Unix ms: clock - offset is Unix time
     folder: Path  # relative paths of the operator file are beside it
     settings: i.Settings  # that the process started with
     # Calls of components at the management address, by path or by a beginning that ends with `/`.
-    calls: dict[str, ComponentCall] = field(default_factory=dict)
+    management_routes: dict[str, ManagementRoute] = field(default_factory=dict)
     tables: Any = None  # all of the operator file
     components: dict[str, Any] = field(default_factory=dict)  # those that are made already
     version: str = ""  # of the program
@@ -99,31 +99,32 @@
 
     def __init__(self, tables: Any, host: Host) -> None:
         self.host = host
-        self.made: dict[str, Component] = {}
+        self.by_name: dict[str, Component] = {}
         host.tables = tables
-        host.components = self.made
+        host.components = self.by_name
         for name, maker in MAKERS.items():
             table = getattr(tables, name, None)
             if table is not None:
-                self.made[name] = _make(name, maker, table, host)
+                self.by_name[name] = _make(name, maker, table, host)
 
     def start(self) -> None:
         """Starts all."""
-        for component in self.made.values():
+        for component in self.by_name.values():
             component.start()
 
     def reload(self, tables: Any, settings: i.Settings) -> list[str]:
         """Gives each its table as it is now; what changes at the next start only."""
-        if self.made:
+        if self.by_name:
             self.host.tables = tables
         delayed = [
-            component.reload(getattr(tables, name, None), settings) for name, component in self.made.items()
+            component.reload(getattr(tables, name, None), settings)
+            for name, component in self.by_name.items()
         ]
         return [f"the operator file's {what}" for what in delayed if what]
 
     def stop(self) -> None:
         """Stops all."""
-        for component in self.made.values():
+        for component in self.by_name.values():
             component.stop()
 
 
--- a/softswitch/configuration.py
+++ b/softswitch/configuration.py
@@ -106,11 +106,11 @@
         """The endpoint list's events up to now, as the board's watch reads them."""
         return self.document.get("known") or {}
 
-    def differing(self, other: Configuration, keys: tuple[str, ...]) -> list[str]:
+    def changed_keys(self, other: Configuration, keys: tuple[str, ...]) -> list[str]:
         """Those of these keys that have other values in the other one."""
         return [key for key in keys if self.document.get(key) != other.document.get(key)]
 
-    def keeping(self, other: Configuration, keys: tuple[str, ...]) -> Configuration:
+    def with_values_of(self, other: Configuration, keys: tuple[str, ...]) -> Configuration:
         """This one, with these keys as the other one has them."""
         kept = {key: other.document[key] for key in keys if key in other.document}
         return replace(self, document=self.document | kept)
--- a/softswitch/measure/recording.py
+++ b/softswitch/measure/recording.py
@@ -153,7 +153,7 @@
         Writer(path, head, table.most_mb << 20),
         table.interval_s * 1000,
         table.slot_s * 1000,
-        lambda now: now - host.offset,
+        lambda now: now - host.unix_offset,
         host.reactor.callInThread,
         aims,
     )
--- a/softswitch/net/budgets.py
+++ b/softswitch/net/budgets.py
@@ -22,7 +22,7 @@
 from softswitch.budgets.messages import Message
 from softswitch.budgets.plan import CALLS, RETRIES, Plan, PlanError, make_plan
 from softswitch.budgets.spending import Spending
-from softswitch.components import Answer, ComponentCall, Host
+from softswitch.components import Host, ManagementResponse, ManagementRoute
 from softswitch.core.lifecycle import Phase
 from softswitch.net.peers import Peers
 
@@ -118,9 +118,9 @@
         self.unreadable = 0
         self.unsent = 0
         self._due = 0.0  # when the next tick is due, by the wheel's clock
-        host.calls["/v1/budgets"] = ComponentCall("GET", self._report_budgets)
+        host.management_routes["/v1/budgets"] = ManagementRoute("GET", self._report_budgets)
         if self.allocation.record:
-            host.calls["/v1/budgets/"] = ComponentCall("GET", self._report_spendings)
+            host.management_routes["/v1/budgets/"] = ManagementRoute("GET", self._report_spendings)
 
     def _make_spending(self, plan: Plan) -> Spending:
         if self.allocation.record:
@@ -263,7 +263,7 @@
 
     # management calls
 
-    def _report_budgets(self, rest: str) -> Answer:
+    def _report_budgets(self, rest: str) -> ManagementResponse:
         """GET /v1/budgets."""
         now, client = boot_time_ms(), self.client
         holder, allocator = client.holder, client.allocator
@@ -304,7 +304,7 @@
             ],
         }
 
-    def _report_spendings(self, rest: str) -> Answer:
+    def _report_spendings(self, rest: str) -> ManagementResponse:
         """GET /v1/budgets/NAME: when the last ones were, by the machine's clock since its start."""
         times = self.spending.times.get(rest) if isinstance(self.spending, RecordedSpending) else None
         if times is None:
--- a/softswitch/net/call_history.py
+++ b/softswitch/net/call_history.py
@@ -9,7 +9,7 @@
 import orjson
 from loguru import logger
 
-from softswitch.components import ComponentCall, Host
+from softswitch.components import Host, ManagementRoute
 from softswitch.core.call import CALL_ID
 from softswitch.core.call_history import CONNECTIONS, CallHistory
 
@@ -28,14 +28,14 @@
         self.history = host.switch.history = CallHistory(
             lambda: wheel.now + wheel.elapsed_since_read(), table.keep
         )
-        host.calls["/v1/calls/"] = ComponentCall("GET", self.asked)
+        host.management_routes["/v1/calls/"] = ManagementRoute("GET", self.asked)
 
     def asked(self, rest: str) -> tuple[int, dict[str, Any]]:
         """Answers `GET /v1/calls/ID`: status and body."""
         call = CONNECTIONS if rest == "links" else rest.lower()
         if call and not CALL_ID.match(call):
             return 400, {"error": "16 hex digits of a call are wanted, or `links`"}
-        told = self.history.report(call, -self.host.offset)
+        told = self.history.report(call, -self.host.unix_offset)
         gone = {"error": f"not known, or no more: {self.table.keep} calls are kept"}
         return (200, told) if told else (404, gone)
 
@@ -53,7 +53,7 @@
             self.host.reactor.callInThread(self._write, lines)
 
     def _lines(self, most: int) -> list[bytes]:
-        told = (self.history.report(call, -self.host.offset) for call in self.history.take_changed(most))
+        told = (self.history.report(call, -self.host.unix_offset) for call in self.history.take_changed(most))
         return [orjson.dumps(life) for life in told if life]
 
     def _write(self, lines: list[bytes]) -> None:
--- a/softswitch/net/endpoint_watch.py
+++ b/softswitch/net/endpoint_watch.py
@@ -18,9 +18,9 @@
 from softswitch.core.switch import Switch
 from softswitch.net.engine_pool import EnginePool
 
-RECORD = Struct(">I4sHBBBHIQ")  # id, address, port, state, zone, kind, cell, weight, started
-HEAD = Struct(">QB")  # number and type of an event
-NOTHING, COMPLETE, CHANGES = 0, 1, 2  # types of events
+ENDPOINT_RECORD = Struct(">I4sHBBBHIQ")  # id, address, port, state, zone, kind, cell, weight, started
+EVENT_HEADER = Struct(">QB")  # number and type of an event
+NO_CHANGE, COMPLETE, CHANGES = 0, 1, 2  # types of events
 MAX_FRAME = 1 << 20  # bytes
 REVISION_SIZE = 8  # bytes
 WEIGHT_UNIT = 1000
@@ -65,10 +65,10 @@
 
 def decode_endpoints(payload: bytes, to_clock: ToClock) -> list[LocatedEndpoint]:
     """The records of an event."""
-    if len(payload) % RECORD.size:
+    if len(payload) % ENDPOINT_RECORD.size:
         raise ValueError(f"{len(payload)} bytes are no whole records")
     endpoints = []
-    for id_, address, port, state, _, _, cell, weight, started in RECORD.iter_unpack(payload):
+    for id_, address, port, state, _, _, cell, weight, started in ENDPOINT_RECORD.iter_unpack(payload):
         endpoint = i.Endpoint(f"s-{id_:08x}", cell, STATES[state], to_clock(started), weight / WEIGHT_UNIT)
         endpoints.append(LocatedEndpoint(endpoint, (".".join(map(str, address)), port)))
     return endpoints
@@ -107,8 +107,8 @@
         if self is not self.factory.connection:
             return  # what stands behind a bad frame, or comes from a board that was left
         try:
-            number, type_ = HEAD.unpack_from(frame)
-            self.factory.event_received(number, type_, frame[HEAD.size :])
+            number, type_ = EVENT_HEADER.unpack_from(frame)
+            self.factory.event_received(number, type_, frame[EVENT_HEADER.size :])
         except Exception as e:
             logger.warning("notice board: bad frame, connection closed: {!r}", e)
             self.factory.reconnect()
@@ -150,7 +150,7 @@
             events.append(ListEvent(int(event.get("rev") or 0), bool(pool.get("whole")), endpoints))
         return KnownEvents(int(config.get("rev") or 0), events)
 
-    def take_known(self, known: KnownEvents) -> None:
+    def apply_known_events(self, known: KnownEvents) -> None:
         """Takes in the events that a configuration holds."""
         last = 0 if self.revision else known.revision
         for event in known.events:
--- a/softswitch/net/engine_connection.py
+++ b/softswitch/net/engine_connection.py
@@ -58,7 +58,7 @@
         self.owner = owner
         self.switch = owner.switch
         self.opened_at = self.switch.wheel.now
-        self.is_corrupt = False  # given up by us: the engine may not know
+        self.is_given_up = False  # given up by us: the engine may not know
         # When the last piece came of a message that is not complete, and the first.
         self.incomplete_since: float | None = None
         self.message_began_at: float | None = None
@@ -71,13 +71,13 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Called by Twisted. A message may come in any pieces, as long as they keep coming."""
-        if self.is_corrupt:
+        if self.is_given_up:
             return
         super().dataReceived(data)
         self._note_piece(self.switch.wheel.now)
 
     def _note_piece(self, now: float) -> None:
-        if not self.recvd or self.is_corrupt:
+        if not self.recvd or self.is_given_up:
             self.incomplete_since = self.message_began_at = None
             return
         self.incomplete_since = now
@@ -88,7 +88,7 @@
 
     def stringReceived(self, data: bytes) -> None:
         """Called by Twisted: a message is complete."""
-        if self.is_corrupt:
+        if self.is_given_up:
             return
         self.incomplete_since = self.message_began_at = None
         try:
@@ -104,7 +104,7 @@
 
     def read_pending(self) -> None:
         """Reads what lies unread."""
-        if not self.is_corrupt:
+        if not self.is_given_up:
             read_now(self.transport)
 
     def set_reading(self, reading: bool) -> None:
@@ -120,9 +120,9 @@
         Guards against what stands behind a corrupt message: where the next one begins is not known. Every
         call setup in flight here is the switch's to retry or to fail.
         """
-        if self.is_corrupt:
+        if self.is_given_up:
             return
-        self.is_corrupt = True
+        self.is_given_up = True
         self.switch.counters[Count.ENGINE_CONNECTIONS_CORRUPT] += 1
         logger.warning("engine {}: {}, connection closed", self.owner.server, why)
         if self.switch.history and self.recvd:
@@ -143,7 +143,7 @@
 
     def connectionLost(self, reason: object = None) -> None:
         """Called by Twisted."""
-        if not self.is_corrupt:
+        if not self.is_given_up:
             self.take_partial_release()
         self.owner.connection_down(self)
 
--- a/softswitch/net/engine_link.py
+++ b/softswitch/net/engine_link.py
@@ -55,11 +55,11 @@
     def connect(self, address: tuple[str, int], factory: ClientFactory) -> None:
         """Opens a connection."""
 
-    def is_wanted(self, server: str) -> bool:
+    def needs_connection(self, server: str) -> bool:
         """Whether calls may go there, or are there."""
 
     @property
-    def reads(self) -> bool:
+    def is_reading(self) -> bool:
         """Whether what engines send is read now."""
 
     @property
@@ -135,7 +135,7 @@
             self.open()
 
     def _is_needed(self) -> bool:
-        return self._queue_length > 0 or self.pool.is_wanted(self.server)
+        return self._queue_length > 0 or self.pool.needs_connection(self.server)
 
     def buildProtocol(self, addr: object) -> EngineConnection:
         """Called by Twisted."""
@@ -163,7 +163,7 @@
         self._backpressured = False
         self._backlog = 0
         self.heartbeat.connection_up(self.switch.wheel.now)
-        if not self.reads:
+        if not self.is_reading:
             connection.set_reading(False)
         self._note(CONNECTIONS, "link up")
         self._flush()
@@ -179,7 +179,7 @@
         self._note(CONNECTIONS, "link down")
         for call in in_flight:
             self.switch.attempt_disconnected(self.server, call)
-        if connection.is_corrupt:  # the engine may not know; one that closes or dies does
+        if connection.is_given_up:  # the engine may not know; one that closes or dies does
             self.missed_releases.connection_given_up()
         self._expire_unacknowledged(now)
         self._requeue_unacknowledged()
@@ -198,9 +198,9 @@
             self.connection.transport.loseConnection()
 
     @property
-    def reads(self) -> bool:
+    def is_reading(self) -> bool:
         """Whether what the engine sends is read now."""
-        return self.pool.reads
+        return self.pool.is_reading
 
     def _connections(self) -> list[EngineConnection]:
         own = [self.connection] if self.connection is not None else []
@@ -214,8 +214,8 @@
     def reading_changed(self) -> None:
         """What the engine sends is read from now on, or left unread."""
         for connection in self._connections():
-            connection.set_reading(self.reads)
-        if self.reads:  # its silence was ours
+            connection.set_reading(self.is_reading)
+        if self.is_reading:  # its silence was ours
             self.heartbeat.restart(self.switch.wheel.now)
             if self._is_needed():
                 self.open()
@@ -378,7 +378,7 @@
     @property
     def may_listen(self) -> bool:
         """Whether one more connection makes sense now."""
-        return self.connection is not None and self.pool.may_open and self.pool.is_wanted(self.server)
+        return self.connection is not None and self.pool.may_open and self.pool.needs_connection(self.server)
 
     def listen_once(self) -> None:
         """Opens one more connection for a while, for releases that were written to another's."""
--- a/softswitch/net/engine_pool.py
+++ b/softswitch/net/engine_pool.py
@@ -27,7 +27,7 @@
         self.settings = settings
         self.switch: Switch  # set by `attach`: each needs the other
         self.links: dict[str, EngineLink] = {}
-        self.reads = True  # what engines send; else it is left to them, for the next process
+        self.is_reading = True  # what engines send; else it is left to them, for the next process
         self.may_open = True  # connections
 
     def attach(self, switch: Switch) -> None:
@@ -39,15 +39,15 @@
         """Opens a connection."""
         self.reactor.connectTCP(*address, factory, timeout=self.settings.connect_timeout / 1000)
 
-    def set_reading(self, reads: bool) -> None:
+    def set_reading(self, reading: bool) -> None:
         """Whether what engines send is read.
 
         An engine sends a release also on the next connection that is opened to it, whoever opens it: what
         this process could not pass on is left unread, and none is opened meanwhile.
         """
-        if reads == self.reads:
+        if reading == self.is_reading:
             return
-        self.reads = self.may_open = reads
+        self.is_reading = self.may_open = reading
         for link in list(self.links.values()):
             link.reading_changed()
 
@@ -60,7 +60,7 @@
         for link in list(self.links.values()):
             link.read_pending()
 
-    def is_wanted(self, server: str) -> bool:
+    def needs_connection(self, server: str) -> bool:
         """Whether calls may go there, or are there."""
         return self.switch.endpoints.is_ready(server) or self.switch.calls.any_at(server)
 
@@ -102,7 +102,7 @@
         if server in self.links:
             self.links[server].return_queued_setups()
 
-    def predecessor_gone(self) -> None:
+    def predecessor_ended(self) -> None:
         """The process that this one replaced has ended: releases that it left unread are fetched.
 
         An engine sends them on the next connection that is opened, and ours have been open for long.
@@ -117,7 +117,7 @@
         now = self.switch.wheel.now
         self.switch.wheel.call_after(SWEEP_INTERVAL, self._sweep)
         for server, link in list(self.links.items()):
-            if self.reads:
+            if self.is_reading:
                 link.sweep(now)
             removed = self.switch.endpoints.state_of(server) is i.EndpointState.REMOVED
             if removed and not self.switch.calls.any_at(server):
--- a/softswitch/net/handover.py
+++ b/softswitch/net/handover.py
@@ -197,7 +197,7 @@
         self.is_predecessor = False  # the other process is the one that replaces this one
         self.max_connections = sip.connections.max_connections  # of both processes together
         self.reported_connections = -1  # to the successor
-        self.on_predecessor_gone: Callable[[], None] | None = None  # called as the predecessor has ended
+        self.on_predecessor_ended: Callable[[], None] | None = None  # called as the predecessor has ended
         # Called once with what was given, while the predecessor is searched for.
         self.on_search_end: Callable[[Descriptors | None], None] | None = None
         self.handlers: dict[str, Callable[[Channel, Message], None]] = {
@@ -216,7 +216,7 @@
 
     # the successor's side
 
-    def predecessors(self, address: Address) -> list[Path]:
+    def predecessor_sockets(self, address: Address) -> list[Path]:
         """Sockets of processes that may serve this address, the newest first."""
         try:
             sockets = [
@@ -226,7 +226,7 @@
         except OSError:
             return []
 
-    def seek(self, paths: list[Path], on_end: Callable[[Descriptors | None], None]) -> None:
+    def request_listeners(self, paths: list[Path], on_end: Callable[[Descriptors | None], None]) -> None:
         """Calls back once, in time: with what was given, or None where nobody gives."""
         self.on_search_end = on_end
         PredecessorSearch(self, paths).try_next()
@@ -264,7 +264,7 @@
 
     # the predecessor's side
 
-    def offer(self, address: Address) -> None:
+    def listen_for_successor(self, address: Address) -> None:
         """Others may take over from here on."""
         name = f"{self._socket_prefix(address)}{os.getpid()}"
         try:
@@ -337,8 +337,8 @@
             self._successor_gone()
         else:
             self.sip.connections.max_connections = self.max_connections
-            if self.on_predecessor_gone is not None:
-                self.on_predecessor_gone()
+            if self.on_predecessor_ended is not None:
+                self.on_predecessor_ended()
 
     def _successor_gone(self) -> None:
         self.is_predecessor = False
--- a/softswitch/net/listening_connection.py
+++ b/softswitch/net/listening_connection.py
@@ -40,7 +40,7 @@
         """Whether the link is over."""
 
     @property
-    def reads(self) -> bool:
+    def is_reading(self) -> bool:
         """Whether what engines send is read now."""
 
     def connect(self, listener: ClientFactory) -> None:
@@ -76,7 +76,7 @@
         """The connection is up; it is closed soon."""
         self.connection = connection
         self._up[connection] = None
-        if not self.link.reads:
+        if not self.link.is_reading:
             connection.set_reading(False)
         self.switch.wheel.call_after(OPEN_FOR, self._close_our_side)
         self.switch.wheel.call_after(3 * OPEN_FOR, connection.transport.abortConnection)
--- a/softswitch/net/management.py
+++ b/softswitch/net/management.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import Factory, Protocol
 from zope.interface import implementer
 
-from softswitch.components import Answer, Component, ComponentCall
+from softswitch.components import Component, ManagementResponse, ManagementRoute
 from softswitch.core.counters import Count, CountFamily
 from softswitch.core.lifecycle import Phase
 from softswitch.core.switch import Switch
@@ -134,7 +134,7 @@
     """One management call."""
 
     method: str
-    run: Callable[[], Answer]
+    run: Callable[[], ManagementResponse]
 
 
 class ManagementServer(Factory):
@@ -152,7 +152,7 @@
             "/v1/softswitch/activate": Call("POST", self._activate),
         }
         # Calls of components, by path, or by a beginning that ends with `/`; and figures of theirs.
-        self.component_calls: dict[str, ComponentCall] = {}
+        self.component_calls: dict[str, ManagementRoute] = {}
         self.components: dict[str, Component] = {}
         self._sweep_scheduled = False  # none is while nobody is connected
 
@@ -175,7 +175,7 @@
         self.connections.pop(victim)
         victim.transport.abortConnection()
 
-    def call(self, method: str, target: str) -> Answer:
+    def call(self, method: str, target: str) -> ManagementResponse:
         """Runs the call of a request."""
         path = target.partition("?")[0]
         known = self.calls.get(path)
@@ -185,30 +185,30 @@
             if path == beginning or (beginning.endswith("/") and path.startswith(beginning)):
                 if method != call.method:
                     return _wrong_method(path, call.method)
-                return call.answer(path[len(beginning) :])
+                return call.handler(path[len(beginning) :])
         there_are = ", ".join((*self.calls, *self.component_calls))
         return 404, {"error": f"no such call; there are {there_are}"}
 
-    def _ready(self) -> Answer:
+    def _ready(self) -> ManagementResponse:
         lifecycle = self.switch.lifecycle
         status = 200 if lifecycle.ready else 503
         return status, {"ready": lifecycle.ready, "phase": lifecycle.phase.value}
 
-    def _figures(self) -> Answer:
+    def _figures(self) -> ManagementResponse:
         report = self.switch.report_figures()
         for name, component in self.components.items():
             if figures := component.figures():
                 report[name] = figures
         return 200, report
 
-    def _drain(self) -> Answer:
+    def _drain(self) -> ManagementResponse:
         lifecycle = self.switch.lifecycle
         if lifecycle.phase is not Phase.DRAINED:
             logger.info("asked to drain: callers' connections close as they fall idle")
         lifecycle.drain(self.switch.wheel.now)
         return 200, {"phase": lifecycle.phase.value}
 
-    def _activate(self) -> Answer:
+    def _activate(self) -> ManagementResponse:
         lifecycle = self.switch.lifecycle
         if lifecycle.phase is Phase.DRAINED:
             logger.info("activated: takes callers again")
@@ -228,5 +228,5 @@
                 connection.transport.abortConnection()
 
 
-def _wrong_method(path: str, wanted: str) -> Answer:
+def _wrong_method(path: str, wanted: str) -> ManagementResponse:
     return 405, {"error": f"{path} wants {wanted}", "allow": wanted}
--- a/softswitch/net/peers.py
+++ b/softswitch/net/peers.py
@@ -18,7 +18,7 @@
 from twisted.internet.protocol import ClientFactory, DatagramProtocol, Factory
 from twisted.protocols.basic import Int32StringReceiver
 
-from softswitch.components import ComponentCall, Host, settings_digest
+from softswitch.components import Host, ManagementRoute, settings_digest
 from softswitch.core.lifecycle import Phase
 from softswitch.fleet.member import Changed, Exchange, Member, Periods, Send, Told
 from softswitch.fleet.messages import (
@@ -186,7 +186,7 @@
         deadline = max((c.deadline for c in host.settings.classes), default=0.0) or LONGEST_CALL
         self.size = Size(host.settings.fleet_size, deadline + LINGER)
         self.told_size = host.settings.fleet_size
-        host.calls["/v1/fleet"] = ComponentCall("GET", self.asked)
+        host.management_routes["/v1/fleet"] = ManagementRoute("GET", self.asked)
 
     # the snapshot
 
--- a/softswitch/process/application.py
+++ b/softswitch/process/application.py
@@ -84,7 +84,7 @@
         self.shutdown = Shutdown(self.reactor, self.switch, self.sip, self.engines, control, shared)
         self.reloader = Reloader(configuration, self.switch, self.engines, self.watch)
         if self.components:
-            self.reloader.has_components = bool(self.components.made)
+            self.reloader.has_components = bool(self.components.by_name)
             self.reloader.reload_components = self.components.reload
 
     def _build_switch(self) -> None:
@@ -123,7 +123,7 @@
         if not directory or shared:
             return None
         handover = Handover(self.reactor, self.switch, self.sip, directory)
-        handover.on_predecessor_gone = self.engines.predecessor_gone
+        handover.on_predecessor_ended = self.engines.predecessor_ended
         return handover
 
     def _build_control(self, settings: ControlSettings, room: int) -> Any:
@@ -138,7 +138,7 @@
             name=self.configuration.name,
             switch=self.switch,
             reactor=self.reactor,
-            offset=self._unix_offset,
+            unix_offset=self._unix_offset,
             folder=Path(environment.variable(environment.OPERATOR_FILE)).resolve().parent,
             settings=self.configuration.settings,
             version=VERSION,
@@ -149,8 +149,8 @@
         except ComponentError as e:
             raise ConfigurationError(str(e)) from None
         if self.management:
-            self.management.component_calls = host.calls
-            self.management.components = components.made
+            self.management.component_calls = host.management_routes
+            self.management.components = components.by_name
         return components
 
     def _to_clock(self, unix_ms: int) -> float:
@@ -159,7 +159,7 @@
     def start(self) -> None:
         """Starts all parts; callers may connect once the endpoint list is known."""
         self.switch.start()
-        self.watch.take_known(self.known_events)
+        self.watch.apply_known_events(self.known_events)
         self.watch.start()
         self._listen_for_operators()
         if self.components:
--- a/softswitch/process/listeners.py
+++ b/softswitch/process/listeners.py
@@ -51,7 +51,7 @@
     def open(self, address: Address) -> None:
         """Listens at once, or as soon as the predecessor has handed its listeners over."""
         self.address = address
-        predecessors = self.handover.predecessors(address.pair) if self.handover else []
+        predecessors = self.handover.predecessor_sockets(address.pair) if self.handover else []
         if not predecessors:
             self._endpoints_known()
             self._serve({})
@@ -66,7 +66,7 @@
 
     def _seek(self, predecessors: list[Path]) -> None:
         assert self.handover is not None
-        self.handover.seek(predecessors, self._handed_over)
+        self.handover.request_listeners(predecessors, self._handed_over)
 
     def _handed_over(self, given: Descriptors | None) -> None:
         """What the predecessor has given, if there is one that gives."""
@@ -84,7 +84,7 @@
         """The predecessor still listens, and was too busy to answer: it is asked again."""
         assert self.handover is not None
         if self.switch.wheel.read_clock() - self._started_at < HANDOVER_RETRY_FOR:
-            predecessors = self.handover.predecessors(self.address.pair)
+            predecessors = self.handover.predecessor_sockets(self.address.pair)
             self.reactor.callLater(HANDOVER_RETRY_EVERY, self._seek, predecessors)
         else:
             self.on_failure(f"listen: {error}")
@@ -98,7 +98,7 @@
             os.close(descriptor)
         self.switch.lifecycle.listener_opened(self.switch.wheel.now)
         if self.handover:
-            self.handover.offer(self.address.pair)
+            self.handover.listen_for_successor(self.address.pair)
         logger.info("softswitch {} serves at {}:{}", self.sip.name, *self.address.pair)
 
     def _listen(self, name: str, address: Address, factory: Any, given: Descriptors) -> Any:
--- a/softswitch/process/reload.py
+++ b/softswitch/process/reload.py
@@ -59,15 +59,15 @@
             raise ConfigurationError(f"{type(e).__name__}: {e}") from None
 
     def _take(self, configuration: Configuration, known: KnownEvents, tables: Any) -> None:
-        delayed = configuration.differing(self.running, FIXED_KEYS)
+        delayed = configuration.changed_keys(self.running, FIXED_KEYS)
         if configuration.settings.tick != self.tick:
             delayed.append("settings.tick")
         settings = replace(configuration.settings, tick=self.tick)
         self.engines.settings = settings
         self.switch.apply_settings(settings)
         delayed += self.reload_components(tables, settings)
-        self.running = configuration.keeping(self.running, FIXED_KEYS)
-        self.watch.take_known(known)
+        self.running = configuration.with_values_of(self.running, FIXED_KEYS)
+        self.watch.apply_known_events(known)
         self.watch.move(configuration.board.pair)
         classes = ", ".join(c.name for c in settings.classes)[:MAX_SHOWN_CLASSES]
         board = configuration.board
--- a/softswitch/process/shutdown.py
+++ b/softswitch/process/shutdown.py
@@ -86,7 +86,7 @@
                 self.engines.stop_opening()
             self.switch.wheel.call_after(CHECK_INTERVAL, self._close_when_done, earliest, deadline)
             return
-        if self.engines.reads:
+        if self.engines.is_reading:
             self.engines.read_pending()  # and passed on, as long as callers are connected
         self.engines.set_reading(False)
         lifecycle.close()  # what still comes is rejected, and callers go
--- a/softswitch/standin/board.py
+++ b/softswitch/standin/board.py
@@ -8,7 +8,7 @@
 
 from twisted.internet.protocol import Factory, Protocol
 
-from softswitch.net.endpoint_watch import CHANGES, COMPLETE, HEAD, NOTHING, RECORD
+from softswitch.net.endpoint_watch import CHANGES, COMPLETE, ENDPOINT_RECORD, EVENT_HEADER, NO_CHANGE
 
 STATES = {"active": 0, "leaving": 1, "left": 2}
 
@@ -26,7 +26,7 @@
 
     def record(self) -> bytes:
         """The entry as the wire has it."""
-        return RECORD.pack(
+        return ENDPOINT_RECORD.pack(
             int(self.name[2:], 16),
             bytes(map(int, self.address[0].split("."))),
             self.address[1],
@@ -74,7 +74,9 @@
 
     def say(self, number: int, kind: int, payload: bytes = b"") -> None:
         """Sends one event."""
-        self.transport.write(pack(">I", HEAD.size + len(payload)) + HEAD.pack(number, kind) + payload)
+        self.transport.write(
+            pack(">I", EVENT_HEADER.size + len(payload)) + EVENT_HEADER.pack(number, kind) + payload
+        )
 
 
 class Board(Factory):
@@ -107,7 +109,7 @@
     def _beat(self) -> None:
         self.beat = self.reactor.callLater(1.0, self._beat)
         for line in self.lines:
-            line.say(self.number, NOTHING)
+            line.say(self.number, NO_CHANGE)
 
     def stop(self) -> None:
         """Closes everything."""
--- a/tests/test_engine_link.py
+++ b/tests/test_engine_link.py
@@ -17,7 +17,7 @@
 class Connection:
     """A connection that keeps what is written to it."""
 
-    is_corrupt = False
+    is_given_up = False
     incomplete_since = None
 
     def __init__(self, now):
@@ -38,7 +38,7 @@
 class LinkBench(Bench):
     """A link to the one engine, whose connections are made by hand; it is the pool of the link as well."""
 
-    reads = may_open = True
+    is_reading = may_open = True
 
     def __init__(self, **changes):
         super().__init__(servers=(A,), **changes)
@@ -49,7 +49,7 @@
     def connect(self, address, factory):
         self.opened.append(factory)
 
-    def is_wanted(self, server):
+    def needs_connection(self, server):
         return True
 
     def connected(self):
@@ -243,14 +243,14 @@
 
 def test_connections_that_come_up_while_engines_are_not_read_are_not_read_either():
     bench = LinkBench()
-    bench.reads = False
+    bench.is_reading = False
     connection = bench.connected()
     bench.link.listen_once()
     listening = Connection(bench.now)
     bench.opened[-1].connection_up(listening)
     assert not connection.is_read
     assert not listening.is_read
-    bench.reads = True
+    bench.is_reading = True
     bench.link.reading_changed()
     assert connection.is_read
     assert listening.is_read
