--- a/softswitch/net/engine_codec.py
+++ b/softswitch/net/engine_codec.py
@@ -1,5 +1,7 @@
-"""Messages of the binary link to the quote engines: a type, the call's id, and parameters with their
-lengths.
+"""Encodes and decodes messages of the binary protocol to quote engines.
+
+A message is a type (1 byte), the call id (8 bytes) and parameters, each a code (1 byte), a length (2 bytes)
+and a value. On the wire each message is preceded by its length (2 bytes).
 """
 
 from __future__ import annotations
@@ -12,18 +14,16 @@
 from softswitch.core.call import ReleaseCause
 
 MAX_MESSAGE = 16_384  # bytes
-CALL_AT, PARAMETERS_AT = 1, 9  # offsets: the call's id, and the first parameter
-LENGTH_SIZE = 2  # bytes of the length that stands before each message
-NO_CALL = "00" * 8  # the call of messages that concern none
+CALL_OFFSET, PARAMETERS_OFFSET = 1, 9  # offsets of the call id and of the first parameter
+LENGTH_SIZE = 2  # bytes of the length before each message
+NO_CALL = "00" * 8  # call id of messages that concern no call
 MAX_RETRY_AFTER_DIGITS = 9
-MAX_RETRY_AFTER = 10_000.0  # ms; a longer wait would keep an engine out that is well again
-PASSED = 1  # cause of a probe's answer
+MAX_RETRY_AFTER = 10_000.0  # ms; a longer wait would exclude an engine that has already recovered
+PASSED = 1  # cause in the answer to a probe: the engine is healthy
 
 
 class MessageType:
-    """The types of messages, as in the protocol. Plain numbers: members of an enum are too slow to look
-    up.
-    """
+    """Message types of the protocol. Plain integers, because looking up enum members is too slow."""
 
     SETUP: Final = 1
     PROGRESS: Final = 6
@@ -36,13 +36,13 @@
 
 
 class Parameter:
-    """The codes of parameters, as in the protocol."""
+    """Parameter codes of the protocol."""
 
     CALL_CLASS: Final = 3
-    TIME_LEFT: Final = 5  # ms that the caller still waits
+    TIME_LEFT: Final = 5  # ms until the caller gives up
     NUMBER: Final = 11
     NOTE: Final = 17
-    RETRY_AFTER: Final = 19  # ms that a full processor asks to be left alone
+    RETRY_AFTER: Final = 19  # ms for which an engine with a full processor requests no further setups
     REPORT: Final = 21
     CAUSE: Final = 31
     DESCRIPTION: Final = 33
@@ -62,12 +62,12 @@
 
 
 class EngineMessageError(ValueError):
-    """A message that can't be read."""
+    """A message is malformed, incomplete or of an unexpected type."""
 
 
 @dataclass(slots=True)
 class EngineMessage:
-    """One message."""
+    """A decoded message."""
 
     type: int  # a MessageType
     call: str  # 16 hex digits
@@ -75,18 +75,18 @@
 
     @property
     def cause(self) -> int:
-        """The cause of a release, or the result of a probe; PASSED where none is given."""
+        """The cause of a release or the result of a probe; PASSED if the message has none."""
         cause = self.parameters.get(Parameter.CAUSE)
         return cause[0] if cause else PASSED
 
     @property
     def note(self) -> str:
-        """What a release adds to its cause."""
+        """Text that details the cause of a release; empty if there is none."""
         return self.parameters.get(Parameter.NOTE, b"").decode("latin-1")
 
     @property
     def retry_after(self) -> float:
-        """Ms that a full processor asks to be left alone; 0 where it gives none that can be read."""
+        """Ms for which the engine requests no further setups; 0 if the parameter is absent or malformed."""
         text = self.parameters.get(Parameter.RETRY_AFTER, b"")
         if not text.isdigit() or len(text) > MAX_RETRY_AFTER_DIGITS:
             return 0.0
@@ -94,75 +94,75 @@
 
     @property
     def report(self) -> str | None:
-        """The load report that comes with it."""
+        """The load report in the message, if any."""
         report = self.parameters.get(Parameter.REPORT)
         return None if report is None else report.decode("latin-1")
 
 
 @dataclass(slots=True)
 class Release:
-    """The end of a call, as it is sent to an engine or comes from one."""
+    """The release of a call, sent to an engine or received from one."""
 
     call: str
     cause: int
 
     def encode(self) -> bytes:
-        """The message."""
+        """Encodes the release as a message."""
         return encode_message(MessageType.RELEASE, self.call, (Parameter.CAUSE, bytes((self.cause & 255,))))
 
 
 def encode_message(type_: int, call: str, *parameters: tuple[int, bytes]) -> bytes:
-    """A message without the length that stands before it."""
+    """Encodes a message, without its length prefix."""
     encoded = [pack(">BH", code, len(value)) + value for code, value in parameters]
     return b"".join((bytes((type_,)), bytes.fromhex(call), *encoded))
 
 
 def decode_message(data: bytes, accepted: frozenset[int] = FROM_ENGINES) -> EngineMessage:
-    """Reads a message; EngineMessageError if it is not complete, or of a type that is not `accepted`."""
-    if len(data) < PARAMETERS_AT:
-        raise EngineMessageError("shorter than its head")
+    """Decodes a message. Raises EngineMessageError if it is malformed or its type is not `accepted`."""
+    if len(data) < PARAMETERS_OFFSET:
+        raise EngineMessageError("shorter than the message header")
     parameters = _decode_parameters(data)
     type_ = data[0]
     if type_ not in accepted:
-        raise EngineMessageError("type not known")
+        raise EngineMessageError("unknown message type")
     described = type_ != MessageType.ANSWER or Parameter.DESCRIPTION in parameters
     if not described or len(parameters.get(Parameter.CAUSE, b" ")) != 1:
-        raise EngineMessageError("answer without description, or cause of no byte")
+        raise EngineMessageError("answer without description, or cause that is not one byte long")
     if type_ == MessageType.RELEASE and Parameter.CAUSE not in parameters:
         raise EngineMessageError("release without cause")
-    return EngineMessage(type_, data[CALL_AT:PARAMETERS_AT].hex(), parameters)
+    return EngineMessage(type_, data[CALL_OFFSET:PARAMETERS_OFFSET].hex(), parameters)
 
 
 def _decode_parameters(data: bytes) -> dict[int, bytes]:
     parameters: dict[int, bytes] = {}
-    at = PARAMETERS_AT
-    while at < len(data):
+    offset = PARAMETERS_OFFSET
+    while offset < len(data):
         try:
-            code, size = unpack_from(">BH", data, at)
+            code, size = unpack_from(">BH", data, offset)
         except StructError:
-            raise EngineMessageError("parameter cut short") from None
-        at += 3 + size
-        if at > len(data):
+            raise EngineMessageError("truncated parameter") from None
+        offset += 3 + size
+        if offset > len(data):
             raise EngineMessageError("parameter longer than the message")
         if code in parameters:
-            raise EngineMessageError("parameter given twice")
-        parameters[code] = data[at - size : at]
+            raise EngineMessageError("duplicate parameter")
+        parameters[code] = data[offset - size : offset]
     return parameters
 
 
 def decode_partial_release(received: bytes) -> Release | None:
-    """A release of which a part has come, from its length on; None if it is none, or does not name its call
-    yet.
+    """Decodes a truncated release from the bytes received so far, which start with its length.
 
-    The cause is NORMAL where it did not come.
+    Returns None if the message is no release or its call id is incomplete. The cause is NORMAL if it was
+    not received.
     """
-    parameters_at = LENGTH_SIZE + PARAMETERS_AT
-    if len(received) < parameters_at or received[LENGTH_SIZE] != MessageType.RELEASE:
+    parameters_offset = LENGTH_SIZE + PARAMETERS_OFFSET
+    if len(received) < parameters_offset or received[LENGTH_SIZE] != MessageType.RELEASE:
         return None
-    at, cause = parameters_at, ReleaseCause.NORMAL
-    while at + 3 <= len(received):
-        code, size = unpack_from(">BH", received, at)
-        at += 3 + size
-        if code == Parameter.CAUSE and size == 1 and at <= len(received):
-            cause = received[at - 1]
-    return Release(received[LENGTH_SIZE + CALL_AT : parameters_at].hex(), cause)
+    offset, cause = parameters_offset, ReleaseCause.NORMAL
+    while offset + 3 <= len(received):
+        code, size = unpack_from(">BH", received, offset)
+        offset += 3 + size
+        if code == Parameter.CAUSE and size == 1 and offset <= len(received):
+            cause = received[offset - 1]
+    return Release(received[LENGTH_SIZE + CALL_OFFSET : parameters_offset].hex(), cause)
--- a/softswitch/net/engine_connection.py
+++ b/softswitch/net/engine_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a quote engine: bytes become messages, and what ends it is told once."""
+"""A TCP connection to a quote engine: splits the byte stream into messages and reports its end once."""
 
 from __future__ import annotations
 
@@ -20,37 +20,39 @@
 )
 from softswitch.net.twisted_internals import read_now
 
-MESSAGE_TIMEOUT = 5_000.0  # ms in which pieces of one message are a sign of life, as with callers' messages
-SHOWN_BYTES = 11  # of a message that was cut short, in the history: its length, type and call
+# Ms after the first piece of a message during which further pieces count as a sign of life. The same limit
+# applies to messages of callers.
+MESSAGE_TIMEOUT = 5_000.0
+SHOWN_BYTES = 11  # of a truncated message, recorded in the call history: length, type and call id
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the link that it belongs to."""
+    """The owner of a connection, which is notified of its events."""
 
     server: str
     switch: Switch
 
     def connection_up(self, connection: EngineConnection) -> None:
-        """The connection is up."""
+        """Called when the connection is established."""
 
     def connection_down(self, connection: EngineConnection) -> None:
-        """The connection is over, or given up as corrupt."""
+        """Called when the connection is closed, or when this side gives it up."""
 
     def message_received(self, message: EngineMessage) -> None:
-        """A message is complete."""
+        """Called for each complete message."""
 
     def piece_received(self) -> None:
-        """A piece of a message came."""
+        """Called when another piece of an incomplete message is received."""
 
     def partial_release_received(self, release: Release) -> None:
-        """No more will come of a release that was begun."""
+        """Called for a truncated release, the rest of which will not arrive."""
 
     def set_backpressured(self, backpressured: bool) -> None:
-        """The engine reads too slowly, or reads again."""
+        """Called when the write buffer is full (True) and when it has drained (False)."""
 
 
 class EngineConnection(Int16StringReceiver):
-    """One connection to a quote engine."""
+    """A connection to a quote engine."""
 
     MAX_LENGTH = MAX_MESSAGE
 
@@ -58,10 +60,10 @@
         self.owner = owner
         self.switch = owner.switch
         self.opened_at = self.switch.wheel.now
-        self.is_given_up = False  # given up by us: the engine may not know
-        # When the last piece came of a message that is not complete, and the first.
-        self.incomplete_since: float | None = None
-        self.message_began_at: float | None = None
+        self.is_given_up = False  # aborted by this side; the engine may not have noticed
+        # When the last and the first piece of the incomplete message were received; None if there is none.
+        self.last_piece_at: float | None = None
+        self.first_piece_at: float | None = None
 
     def connectionMade(self) -> None:
         """Called by Twisted."""
@@ -70,27 +72,27 @@
         self.owner.connection_up(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Called by Twisted. A message may come in any pieces, as long as they keep coming."""
+        """Called by Twisted. A message may be split into any number of pieces."""
         if self.is_given_up:
             return
         super().dataReceived(data)
-        self._note_piece(self.switch.wheel.now)
+        self._update_piece_times(self.switch.wheel.now)
 
-    def _note_piece(self, now: float) -> None:
+    def _update_piece_times(self, now: float) -> None:
         if not self.recvd or self.is_given_up:
-            self.incomplete_since = self.message_began_at = None
+            self.last_piece_at = self.first_piece_at = None
             return
-        self.incomplete_since = now
-        if self.message_began_at is None:
-            self.message_began_at = now
-        if now - self.message_began_at <= MESSAGE_TIMEOUT:
+        self.last_piece_at = now
+        if self.first_piece_at is None:
+            self.first_piece_at = now
+        if now - self.first_piece_at <= MESSAGE_TIMEOUT:
             self.owner.piece_received()
 
     def stringReceived(self, data: bytes) -> None:
-        """Called by Twisted: a message is complete."""
+        """Called by Twisted for each complete message."""
         if self.is_given_up:
             return
-        self.incomplete_since = self.message_began_at = None
+        self.last_piece_at = self.first_piece_at = None
         try:
             message = decode_message(data)
         except EngineMessageError as e:
@@ -99,43 +101,46 @@
         self.owner.message_received(message)
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """Called by Twisted."""
+        """Called by Twisted when a message is longer than MAX_LENGTH."""
         self.give_up(f"message of {length} bytes")
 
     def read_pending(self) -> None:
-        """Reads what lies unread."""
+        """Reads the bytes in the socket's receive buffer."""
         if not self.is_given_up:
             read_now(self.transport)
 
     def set_reading(self, reading: bool) -> None:
-        """What comes is read, or left to the engine, which sees it unread when the connection ends."""
+        """Resumes or pauses reading.
+
+        The engine detects it if the connection is closed before its bytes were read.
+        """
         if reading:
             self.transport.resumeProducing()
         else:
             self.transport.pauseProducing()
 
-    def give_up(self, why: str) -> None:
-        """Ends the connection at once: nothing more is read.
+    def give_up(self, reason: str) -> None:
+        """Aborts the connection and stops reading from it.
 
-        Guards against what stands behind a corrupt message: where the next one begins is not known. Every
-        call setup in flight here is the switch's to retry or to fail.
+        After a malformed message the start of the next one is unknown. The switch retries or fails each call
+        setup that is in flight on the connection.
         """
         if self.is_given_up:
             return
         self.is_given_up = True
         self.switch.counters[Count.ENGINE_CONNECTIONS_CORRUPT] += 1
-        logger.warning("engine {}: {}, connection closed", self.owner.server, why)
+        logger.warning("engine {}: {}, connection closed", self.owner.server, reason)
         if self.switch.history and self.recvd:
-            begun = f"{self.owner.server} {len(self.recvd)} bytes {self.recvd[:SHOWN_BYTES].hex()}"
-            self.switch.history.note(CONNECTIONS, "message begun and cut short", begun)
+            received = f"{self.owner.server} {len(self.recvd)} bytes {self.recvd[:SHOWN_BYTES].hex()}"
+            self.switch.history.note(CONNECTIONS, "message begun and cut short", received)
         self.transport.abortConnection()
         self.owner.connection_down(self)
 
-    def take_partial_release(self) -> None:
-        """No more will come of the message that was begun.
+    def process_partial_release(self) -> None:
+        """Reports the incomplete message if it is a release.
 
-        If it was a release, the engine has sent it, as far as it knows, and does so no more: what came of it
-        has to do.
+        Called when the rest of the message will not arrive. The engine considers the release sent and does
+        not repeat it, so the received part has to suffice.
         """
         release = decode_partial_release(self.recvd) if self.recvd else None
         if release is not None:
@@ -144,15 +149,15 @@
     def connectionLost(self, reason: object = None) -> None:
         """Called by Twisted."""
         if not self.is_given_up:
-            self.take_partial_release()
+            self.process_partial_release()
         self.owner.connection_down(self)
 
     def pauseProducing(self) -> None:
-        """Called by Twisted: the engine reads too slowly."""
+        """Called by Twisted when the write buffer is full, because the engine reads too slowly."""
         self.owner.set_backpressured(True)
 
     def resumeProducing(self) -> None:
-        """Called by Twisted: it reads again."""
+        """Called by Twisted when the write buffer has drained."""
         self.owner.set_backpressured(False)
 
     def stopProducing(self) -> None:
--- a/softswitch/net/engine_link.py
+++ b/softswitch/net/engine_link.py
@@ -1,4 +1,4 @@
-"""What goes to one quote engine and comes from it, over connections that come and go."""
+"""The link to one quote engine: queues call setups and releases, reconnects and dispatches messages."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from loguru import logger
-from twisted.internet.error import ConnectionRefusedError as NobodyListens
+from twisted.internet.error import ConnectionRefusedError as TcpConnectionRefused
 from twisted.internet.protocol import ClientFactory
 
 from softswitch import interface as i
@@ -28,47 +28,47 @@
 from softswitch.net.listening_connection import MissedReleases
 from softswitch.settings import parse_report
 
-MAX_QUEUED = 4_096  # messages kept for a connection that is not up
-MAX_BACKLOG = 1 << 20  # bytes that may wait to be written to an engine that does not read
-PIECE_TIMEOUT = 300.0  # ms that the next piece of a message may take
-ACKNOWLEDGE_TIMEOUT = 1_000.0  # ms after which a release that was written is taken to have arrived
-STEADY_AFTER = 1_000.0  # ms after which a connection that ends is opened anew at once
-MIN_BACKOFF, MAX_BACKOFF = 50.0, 400.0  # ms between tries to open
-ANY_STATE = b"\0"  # parameter of a probe
+MAX_QUEUED = 4_096  # messages queued until a connection is established
+MAX_BACKLOG = 1 << 20  # bytes buffered for an engine that does not read
+PIECE_TIMEOUT = 300.0  # max ms between two pieces of a message
+ACKNOWLEDGE_TIMEOUT = 1_000.0  # ms after which a written release counts as received
+STABLE_AFTER = 1_000.0  # ms; a connection that lasted this long is reopened without backoff
+MIN_BACKOFF, MAX_BACKOFF = 50.0, 400.0  # ms between connection attempts
+ANY_STATE = b"\0"  # value of the cause parameter of a probe
 
 Report = tuple[float, ...]
 
 
 @dataclass(slots=True)
 class SentRelease:
-    """A release that was written and is not acknowledged."""
+    """A release that was written and not acknowledged yet."""
 
     release: Release
     sent_at: float
 
 
 class Connector(Protocol):
-    """What a link needs of the pool that it belongs to."""
+    """The interface of the engine pool that a link uses."""
 
     settings: i.Settings
 
     def connect(self, address: tuple[str, int], factory: ClientFactory) -> None:
-        """Opens a connection."""
+        """Opens a TCP connection."""
 
     def needs_connection(self, server: str) -> bool:
-        """Whether calls may go there, or are there."""
+        """Whether the engine may receive calls or has calls."""
 
     @property
     def is_reading(self) -> bool:
-        """Whether what engines send is read now."""
+        """Whether data from engines is read."""
 
     @property
     def may_open(self) -> bool:
-        """Whether connections may be opened now."""
+        """Whether new connections may be opened."""
 
 
 def encode_setup(call: Call, now: float) -> bytes:
-    """The setup of a call; it tells how long its caller waits from now."""
+    """Encodes the setup message of a call, including the remaining time until its caller gives up."""
     request, time_left = call.request, max(1.0, call.deadline - now)
     return encode_message(
         MessageType.SETUP,
@@ -81,7 +81,10 @@
 
 
 class EngineLink(ClientFactory):
-    """The link to one engine. Fulfils `engine_connection.ConnectionOwner` and `listening_connection.Link`."""
+    """The link to one engine.
+
+    Implements `engine_connection.ConnectionOwner` and `listening_connection.Link`.
+    """
 
     noisy = False
 
@@ -92,39 +95,39 @@
         self.address = address
         self.connection: EngineConnection | None = None
         self.is_closing = False
-        # What waits to be written, by call. Releases go first: the one of an attempt that was given up may
-        # wait beside a new attempt of the same call, which must neither replace nor overtake it.
+        # Queued messages by call id. Releases are written first: the release of an abandoned attempt may be
+        # queued together with a new attempt of the same call, which must neither replace nor overtake it.
         self.queued_releases: dict[str, Release] = {}
-        self.queued_setups: dict[str, Call] = {}  # these can still be withdrawn
-        self.in_flight: set[str] = set()  # call setups written to the connection that is up
-        # Releases of established calls, the oldest first. A connection that is reset takes them with it, and
-        # nothing else would tell the engine.
+        self.queued_setups: dict[str, Call] = {}  # not written yet, so they can still be withdrawn
+        self.in_flight: set[str] = set()  # ids of call setups written to the current connection, unanswered
+        # Releases of established calls, oldest first. If the connection is reset, they may be lost and the
+        # engine would never learn that the calls are over, so they are written again.
         self.unacknowledged: dict[str, SentRelease] = {}
         self.heartbeat = Heartbeat(switch.wheel.now, pool.settings.may_probe)
         self.missed_releases = MissedReleases(self)
-        self._opening = False
+        self._is_connecting = False
         self._open_scheduled = False
         self._open_not_before = 0.0
         self._backoff = MIN_BACKOFF
         self._backpressured = False
-        self._backlog = 0  # bytes written since the engine was last seen to read
+        self._backlog = 0  # bytes written while backpressured
 
-    # the connection
+    # connection
 
     def open(self) -> None:
-        """Opens a connection, unless there is one, or it is too soon after the last."""
-        if self.connection is not None or self._opening or self.is_closing or self._open_scheduled:
+        """Opens a connection unless one is open or being opened. Waits for the end of the backoff."""
+        if self.connection is not None or self._is_connecting or self.is_closing or self._open_scheduled:
             return
         if not self.pool.may_open:
             return
-        if self.switch.wheel.now < self._open_not_before:  # however much there is to send
+        if self.switch.wheel.now < self._open_not_before:  # applies even if messages are queued
             self._open_scheduled = True
-            self.switch.wheel.call_at(self._open_not_before, self._open_scheduled_now)
+            self.switch.wheel.call_at(self._open_not_before, self._scheduled_open)
             return
-        self._opening = True
+        self._is_connecting = True
         self.pool.connect(self.address, self)
 
-    def _open_scheduled_now(self) -> None:
+    def _scheduled_open(self) -> None:
         self._open_scheduled = False
         self.open()
 
@@ -142,24 +145,25 @@
         return EngineConnection(self)
 
     def clientConnectionFailed(self, connector: object, reason: Any) -> None:
-        """Called by Twisted: no connection came up."""
-        self._opening = False
-        process_is_gone = reason.check(NobodyListens)  # and its calls with it
-        if process_is_gone:
-            # Before setups go elsewhere: they may come back here at once, to wait for the next process.
+        """Called by Twisted when a connection attempt fails."""
+        self._is_connecting = False
+        process_is_dead = reason.check(TcpConnectionRefused)  # nothing listens there: its calls are lost too
+        if process_is_dead:
+            # Cleared before the setups are returned: the switch may queue them here again at once, for the
+            # engine's next process.
             self.queued_releases.clear()
         self.return_queued_setups()
-        if process_is_gone:
+        if process_is_dead:
             self.switch.engine_died(self.server)
         self._open_after_backoff()
 
     def connection_up(self, connection: EngineConnection) -> None:
-        """The connection is up: what waited is written."""
+        """Called when the connection is established; writes the queued messages."""
         if self.is_closing:
             connection.transport.abortConnection()
             return
         self.connection = connection
-        self._opening = False
+        self._is_connecting = False
         self._backpressured = False
         self._backlog = 0
         self.heartbeat.connection_up(self.switch.wheel.now)
@@ -169,7 +173,10 @@
         self._flush()
 
     def connection_down(self, connection: EngineConnection) -> None:
-        """The connection is over: its attempts have failed, and its releases go out on the next one."""
+        """Called when the connection ends.
+
+        Fails the attempts in flight on it and queues its unacknowledged releases for the next connection.
+        """
         if connection is not self.connection:
             return
         now = self.switch.wheel.now
@@ -179,19 +186,21 @@
         self._note(CONNECTIONS, "link down")
         for call in in_flight:
             self.switch.attempt_disconnected(self.server, call)
-        if connection.is_given_up:  # the engine may not know; one that closes or dies does
+        # An engine that closed the connection or died knows that it is over. After an abort by this side the
+        # engine may not know, and may write releases to the dead connection.
+        if connection.is_given_up:
             self.missed_releases.connection_given_up()
         self._expire_unacknowledged(now)
         self._requeue_unacknowledged()
-        if now - connection.opened_at < STEADY_AFTER:
-            # Guards against a loop with an engine that hangs up on each new connection.
+        if now - connection.opened_at < STABLE_AFTER:
+            # Prevents a tight reconnect loop with an engine that closes each new connection.
             self._open_after_backoff()
         elif self._is_needed():
             self._backoff = MIN_BACKOFF
-            self.open()  # at once: releases that we missed come on the next connection
+            self.open()  # without delay: the engine sends missed releases on the next connection
 
     def close(self) -> None:
-        """The engine is removed."""
+        """Closes the link, because the engine was removed or has a new address."""
         self.is_closing = True
         self.return_queued_setups()
         if self.connection is not None:
@@ -199,7 +208,7 @@
 
     @property
     def is_reading(self) -> bool:
-        """Whether what the engine sends is read now."""
+        """Whether data from the engine is read."""
         return self.pool.is_reading
 
     def _connections(self) -> list[EngineConnection]:
@@ -207,33 +216,33 @@
         return own + list(self.missed_releases.up)
 
     def read_pending(self) -> None:
-        """Reads what the engine has sent until now."""
+        """Reads the data that the engine has sent so far."""
         for connection in self._connections():
             connection.read_pending()
 
     def reading_changed(self) -> None:
-        """What the engine sends is read from now on, or left unread."""
+        """Called when `is_reading` changes; resumes or pauses all connections to the engine."""
         for connection in self._connections():
             connection.set_reading(self.is_reading)
-        if self.is_reading:  # its silence was ours
+        if self.is_reading:  # no heartbeat could be received while reading was paused
             self.heartbeat.restart(self.switch.wheel.now)
             if self._is_needed():
                 self.open()
 
     def set_backpressured(self, backpressured: bool) -> None:
-        """The engine reads too slowly, or reads again."""
+        """Called when the write buffer of the connection is full (True) or has drained (False)."""
         self._backpressured = backpressured
         if not backpressured:
             self._flush()
 
-    # what goes to the engine
+    # messages to the engine
 
     @property
     def _queue_length(self) -> int:
         return len(self.queued_releases) + len(self.queued_setups)
 
     def send_setup(self, call: Call) -> None:
-        """Writes it as soon as a connection is up and read."""
+        """Queues a call setup; it is written once a connection is up and not backpressured."""
         if self._queue_length >= MAX_QUEUED:
             self.switch.attempt_unreachable(self.server, call.id)
             return
@@ -241,8 +250,8 @@
         self._flush_or_open()
 
     def send_release(self, release: Release) -> None:
-        """Writes it as soon as a connection is up and read."""
-        if self._queue_length >= MAX_QUEUED:  # its call stays established there until the engine ends it
+        """Queues a release; it is written once a connection is up and not backpressured."""
+        if self._queue_length >= MAX_QUEUED:  # the call stays established until the engine ends it
             self.switch.counters[Count.ENGINE_RELEASES_DROPPED] += 1
             return
         self.queued_releases[release.call] = release
@@ -254,24 +263,24 @@
             self.open()
 
     def withdraw_setup(self, call: str) -> bool:
-        """Takes back a call setup that was never written."""
+        """Removes a call setup from the queue. Returns whether it was still queued."""
         return self.queued_setups.pop(call, None) is not None
 
     def return_queued_setups(self) -> None:
-        """The engine takes nothing new: call setups that still wait here go elsewhere."""
+        """Reports all queued call setups as unreachable, so that the switch retries them elsewhere."""
         for call in list(self.queued_setups):
             if self.withdraw_setup(call):
                 self.switch.attempt_unreachable(self.server, call)
 
     def take_over_queue(self, predecessor: EngineLink) -> None:
-        """What was queued for an earlier address of the engine goes to this one."""
+        """Moves the queued messages here from the link to the engine's earlier address."""
         self.queued_releases = predecessor.queued_releases | self.queued_releases
         self.queued_setups = predecessor.queued_setups | self.queued_setups
         predecessor.queued_releases = {}
         predecessor.queued_setups = {}
 
     def _flush(self) -> None:
-        """Writes what waited, as far as it is read."""
+        """Writes queued messages until the queue is empty or the connection is backpressured."""
         while self.connection is not None and not self._backpressured and self._queue_length:
             if self.queued_releases:
                 self._write_release(self.queued_releases.pop(next(iter(self.queued_releases))))
@@ -287,7 +296,7 @@
 
     def _write_release(self, release: Release) -> None:
         if release.call in self.in_flight:
-            self.in_flight.discard(release.call)  # the end of this connection gives it up as well
+            self.in_flight.discard(release.call)  # the engine drops the attempt too if the connection ends
         else:
             self.unacknowledged[release.call] = SentRelease(release, self.switch.wheel.now)
         if self.switch.history:
@@ -305,7 +314,7 @@
         self.connection.sendString(data)
 
     def _expire_unacknowledged(self, now: float) -> None:
-        """Releases that were written so long ago have arrived."""
+        """Removes releases older than ACKNOWLEDGE_TIMEOUT, which count as received."""
         while self.unacknowledged:
             call, sent = next(iter(self.unacknowledged.items()))
             if now - sent.sent_at <= ACKNOWLEDGE_TIMEOUT:
@@ -318,10 +327,10 @@
             self.queued_releases.setdefault(call, sent.release)
         self.unacknowledged.clear()
 
-    # what comes from the engine
+    # messages from the engine
 
     def message_received(self, message: EngineMessage) -> None:
-        """A message is complete."""
+        """Dispatches a message from the engine."""
         now = self.switch.wheel.now
         self.heartbeat.message_received(now)
         if message.type == MessageType.ANSWER:
@@ -342,7 +351,7 @@
             self.switch.counters[Count.ENGINE_UNKNOWN_MESSAGES] += 1
 
     def release_received(self, message: EngineMessage) -> None:
-        """The engine rejected an attempt, or ended a call."""
+        """Called when the engine rejects an attempt or ends an established call."""
         self.in_flight.discard(message.call)
         report = self._report(message)
         self.switch.released_by_engine(
@@ -350,14 +359,13 @@
         )
 
     def piece_received(self) -> None:
-        """A piece of a message came: the connection is no silent one."""
+        """Called for a piece of a message, which counts as a sign of life."""
         self.heartbeat.message_received(self.switch.wheel.now)
 
     def partial_release_received(self, release: Release) -> None:
-        """A release whose end did not come.
+        """Called for a truncated release; ends the call if it is established at this engine.
 
-        Only a call that is established here is over by it: an attempt is retried or failed with the
-        connection.
+        An attempt is not ended by it: the end of the connection retries or fails it.
         """
         call = self.switch.calls.get(release.call)
         if call is not None and call.established and call.server == self.server:
@@ -369,7 +377,7 @@
         text = message.report
         return () if text is None else parse_report(self.pool.settings, text)
 
-    # signs of life
+    # heartbeat
 
     @property
     def _may_probe(self) -> bool:
@@ -377,27 +385,30 @@
 
     @property
     def may_listen(self) -> bool:
-        """Whether one more connection makes sense now."""
+        """Whether an additional listening connection is useful now."""
         return self.connection is not None and self.pool.may_open and self.pool.needs_connection(self.server)
 
     def listen_once(self) -> None:
-        """Opens one more connection for a while, for releases that were written to another's."""
+        """Opens one listening connection, to receive releases that were left unread by another process."""
         if self.connection is not None and not self.is_closing and self.pool.may_open:
             self.missed_releases.open_connection()
 
     def connect(self, listener: ClientFactory) -> None:
-        """Opens one more connection to the engine."""
+        """Opens an additional connection to the engine."""
         self.pool.connect(self.address, listener)
 
     def engine_active(self) -> None:
-        """The engine gave a sign of life on another connection."""
+        """Called when data is received from the engine on another connection."""
         self.heartbeat.engine_active_at = self.switch.wheel.now
 
     def sweep(self, now: float) -> None:
-        """An engine that is silent is probed, and given up in time for its calls to be released."""
+        """Checks the timeouts: of an incomplete message, of unacknowledged releases and of the heartbeat.
+
+        A silent engine is probed and declared dead early enough to release its calls in time.
+        """
         connection = self.connection
-        if connection is not None and self._is_cut_short(now, connection):
-            connection.take_partial_release()
+        if connection is not None and self._is_truncated(now, connection):
+            connection.process_partial_release()
             connection.give_up("message cut short")
             return
         self._expire_unacknowledged(now)
@@ -406,9 +417,9 @@
             self._check_heartbeat(now, draining)
 
     @staticmethod
-    def _is_cut_short(now: float, connection: EngineConnection) -> bool:
-        since = connection.incomplete_since
-        return since is not None and now - since > PIECE_TIMEOUT
+    def _is_truncated(now: float, connection: EngineConnection) -> bool:
+        last_piece_at = connection.last_piece_at
+        return last_piece_at is not None and now - last_piece_at > PIECE_TIMEOUT
 
     def _has_calls(self) -> bool:
         return bool(self.in_flight) or self.switch.calls.any_at(self.server)
@@ -419,7 +430,7 @@
         if verdict is Verdict.ENGINE_DEAD:
             self._engine_silent(now)
         elif verdict is Verdict.CONNECTION_DEAD and connection is not None:
-            # Guards against a connection that stays open and brings nothing: it took engines out for seconds.
+            # A connection that stays open but delivers nothing made engines unavailable for seconds.
             connection.give_up("silent though tested" if self._may_probe else "silent")
         elif verdict is Verdict.PROBE:
             self.heartbeat.probe_sent(now)
@@ -428,7 +439,7 @@
 
     def _engine_silent(self, now: float) -> None:
         silent_for = now - self.heartbeat.engine_active_at
-        logger.warning("engine {}: silent for {:.0f} ms, its calls are cut", self.server, silent_for)
+        logger.warning("engine {}: silent for {:.0f} ms, releasing its calls", self.server, silent_for)
         self.heartbeat.restart(now)
         self.switch.engine_died(self.server)
         if self.connection is not None:
--- a/tests/test_engine_link.py
+++ b/tests/test_engine_link.py
@@ -18,7 +18,7 @@
     """A connection that keeps what is written to it."""
 
     is_given_up = False
-    incomplete_since = None
+    last_piece_at = None
 
     def __init__(self, now):
         self.opened_at, self.written, self.transport = now, [], self
