--- a/softswitch/net/engine_heartbeat.py
+++ b/softswitch/net/engine_heartbeat.py
@@ -1,7 +1,8 @@
-"""Whether an engine, and the connection to it, are alive: by the interval at which it tells its state.
+"""Heartbeat monitoring of an engine and of the connection to it.
 
-Reads no clock: times come in, in ms. Engines tell their state at an interval of their own, which is learned.
-A connection that misses it is probed, and given up for a new one after one and a half of it.
+Engines send their state at an interval of their own, which is estimated from its arrivals. A connection that
+misses an interval is probed. After one and a half intervals it is given up and replaced by a new one. The
+module reads no clock: callers pass the time in ms.
 """
 
 from __future__ import annotations
@@ -11,69 +12,69 @@
 FIRST_INTERVAL = 1_300.0
 MIN_INTERVAL = 300.0
 MAX_INTERVAL = 2_000.0
-UNPROBED_INTERVAL = 3_500.0  # the longest interval, and the first, where engines may not be probed
-# An engine that drains tells its state no more, and takes no calls: established ones are all that is at
-# stake, whose callers have to know within 8 s. A connection that is given up after one and a half of it is in
-# time.
+UNPROBED_INTERVAL = 3_500.0  # first and max interval if probes are not allowed
+# A draining engine sends no state and accepts no calls. Only its established calls matter; if the engine
+# fails, their callers have to be notified within 8 s. Giving up the connection after one and a half of these
+# intervals is early enough.
 DRAINING_INTERVAL = 3_000.0
 SLACK = 75.0
-ENGINE_TIMEOUT = 6_500.0  # without a sign on any connection, after which established calls are cut
+ENGINE_TIMEOUT = 6_500.0  # without a sign of life on any connection; then established calls are released
 
 
 class Verdict(Enum):
-    """What a look at the signs of life says."""
+    """Result of a heartbeat check."""
 
     ALIVE = auto()
-    PROBE = auto()  # the connection has missed an interval: probe it
+    PROBE = auto()  # the connection has missed an interval and has to be probed
     CONNECTION_DEAD = auto()
     ENGINE_DEAD = auto()
 
 
 class Heartbeat:
-    """The signs of life of one engine."""
+    """Times of the last signs of life of one engine and of the connection to it."""
 
     def __init__(self, now: float, may_probe: bool) -> None:
         self.interval = FIRST_INTERVAL if may_probe else UNPROBED_INTERVAL
-        self.connection_active_at = now  # when this connection, or its opening, last gave a sign
-        self.engine_active_at = now  # when the engine last gave a sign, on any connection
-        self.state_at: float | None = None  # when it last told its state on this connection
+        self.connection_active_at = now  # last data on this connection, or its opening
+        self.engine_active_at = now  # last data from the engine on any connection
+        self.state_at: float | None = None  # last state message on this connection
         self.probed_at = 0.0
 
     def connection_up(self, now: float) -> None:
-        """A new connection."""
+        """Records that a new connection is established."""
         self.connection_active_at = now
         self.state_at = None
 
     def message_received(self, now: float) -> None:
-        """Any message came on the connection."""
+        """Records data on the connection."""
         self.connection_active_at = now
         self.engine_active_at = now
 
     def state_received(self, now: float, may_probe: bool) -> None:
-        """The engine told its state unasked."""
+        """Records an unsolicited state message and updates the estimated interval."""
         if self.state_at is not None:
-            longest = MAX_INTERVAL if may_probe else UNPROBED_INTERVAL
-            seen = min(max(now - self.state_at, MIN_INTERVAL), longest)
-            self.interval = max(seen, 0.9 * self.interval)
+            max_interval = MAX_INTERVAL if may_probe else UNPROBED_INTERVAL
+            measured = min(max(now - self.state_at, MIN_INTERVAL), max_interval)
+            self.interval = max(measured, 0.9 * self.interval)
         self.state_at = now
 
     def probe_sent(self, now: float) -> None:
-        """A probe is on its way."""
+        """Records that a probe was sent."""
         self.probed_at = now
 
     def restart(self, now: float) -> None:
-        """The engine was found dead; it is watched as if it had just given a sign."""
+        """Restarts the timeouts, as if the engine had just sent data."""
         self.message_received(now)
 
     def missed(self, now: float, draining: bool) -> bool:
-        """Whether the connection has missed an interval."""
+        """Whether the connection has been silent for more than an interval."""
         return now - self.connection_active_at >= self._interval(draining) + SLACK
 
     def _interval(self, draining: bool) -> float:
         return max(self.interval, DRAINING_INTERVAL) if draining else self.interval
 
     def check(self, now: float, draining: bool, connected: bool, may_probe: bool) -> Verdict:
-        """What to do about an engine that has missed an interval."""
+        """Checks an engine that has missed an interval."""
         if now - self.engine_active_at >= ENGINE_TIMEOUT:
             return Verdict.ENGINE_DEAD
         if not connected:
--- a/softswitch/net/engine_pool.py
+++ b/softswitch/net/engine_pool.py
@@ -12,38 +12,40 @@
 from softswitch.net.engine_codec import Release
 from softswitch.net.engine_link import EngineLink
 
-SWEEP_INTERVAL = 100.0  # ms between two looks at the links
-FETCH_DELAY = 50.0  # ms in which engines see the end of another process's connections
-CAUSE_CANCELLED = 16  # of the release that takes an attempt back
+SWEEP_INTERVAL = 100.0  # ms between two checks of the links
+FETCH_DELAY = 50.0  # ms until engines have detected the end of another process's connections
+CAUSE_CANCELLED = 16  # of the release that cancels an attempt
 
 Address = tuple[str, int]
 
 
 class EnginePool:
-    """Owner of the links, by engine. Fulfils `core.call.Engines`."""
+    """Owns the links to the engines. Implements `core.call.Engines` and `engine_link.Connector`."""
 
     def __init__(self, reactor: Any, settings: i.Settings) -> None:
         self.reactor = reactor
         self.settings = settings
-        self.switch: Switch  # set by `attach`: each needs the other
-        self.links: dict[str, EngineLink] = {}
-        self.is_reading = True  # what engines send; else it is left to them, for the next process
-        self.may_open = True  # connections
+        self.switch: Switch  # set by `attach`, because the switch and the pool need each other
+        self.links: dict[str, EngineLink] = {}  # by engine
+        # If false, data from engines is left unread, so that they send it again to the successor process.
+        self.is_reading = True
+        self.may_open = True  # whether new connections may be opened
 
     def attach(self, switch: Switch) -> None:
-        """The switch whose calls go there."""
+        """Sets the switch that uses the pool, and starts the periodic checks."""
         self.switch = switch
         switch.wheel.call_after(SWEEP_INTERVAL, self._sweep)
 
     def connect(self, address: Address, factory: ClientFactory) -> None:
-        """Opens a connection."""
+        """Opens a TCP connection."""
         self.reactor.connectTCP(*address, factory, timeout=self.settings.connect_timeout / 1000)
 
     def set_reading(self, reading: bool) -> None:
-        """Whether what engines send is read.
+        """Resumes or pauses reading from all engines.
 
-        An engine sends a release also on the next connection that is opened to it, whoever opens it: what
-        this process could not pass on is left unread, and none is opened meanwhile.
+        An engine repeats a release that was left unread on the next connection opened to it, by whichever
+        process. So reading is paused while this process could not pass releases on, and no connection is
+        opened meanwhile.
         """
         if reading == self.is_reading:
             return
@@ -52,33 +54,36 @@
             link.reading_changed()
 
     def stop_opening(self) -> None:
-        """No connection is opened any more: this process is about to end."""
+        """Opens no more connections, because this process is about to exit."""
         self.may_open = False
 
     def read_pending(self) -> None:
-        """Reads what engines have sent until now."""
+        """Reads the data that engines have sent so far."""
         for link in list(self.links.values()):
             link.read_pending()
 
     def needs_connection(self, server: str) -> bool:
-        """Whether calls may go there, or are there."""
+        """Whether the engine may receive calls or has calls."""
         return self.switch.endpoints.is_ready(server) or self.switch.calls.any_at(server)
 
     def add_endpoint(self, server: str, address: Address) -> None:
-        """An engine of the list; called before the switch has the update."""
-        known = self.links.get(server)
-        if known is not None and known.address == address:
-            known.open()
+        """Adds an engine of the endpoint list, or changes its address.
+
+        Called before the switch receives the update of the list.
+        """
+        current = self.links.get(server)
+        if current is not None and current.address == address:
+            current.open()
             return
         link = EngineLink(self, self.switch, server, address)
         self.links[server] = link
-        if known is not None:
-            known.close()
-            link.take_over_queue(known)
+        if current is not None:
+            current.close()
+            link.take_over_queue(current)
         link.open()
 
     def send_setup(self, server: str, call: Call) -> None:
-        """Sends the call's setup there."""
+        """Sends the setup of a call to an engine."""
         link = self.links.get(server)
         if link is None:
             self.switch.attempt_unreachable(server, call.id)
@@ -86,26 +91,27 @@
             link.send_setup(call)
 
     def cancel_setup(self, server: str, call: str) -> None:
-        """Takes back a setup that is not answered."""
+        """Cancels an unanswered setup: withdraws it, or sends a release if it was written."""
         link = self.links.get(server)
         if link and not link.withdraw_setup(call):
             link.send_release(Release(call, CAUSE_CANCELLED))
 
     def send_release(self, server: str, call: str, cause: int) -> None:
-        """Ends a call there."""
+        """Sends the release of a call to an engine."""
         link = self.links.get(server)
         if link:
             link.send_release(Release(call, cause))
 
     def endpoint_unavailable(self, server: str) -> None:
-        """The list says so: call setups that are not written yet go elsewhere."""
+        """Returns an engine's unwritten call setups, because it accepts no new calls any more."""
         if server in self.links:
             self.links[server].return_queued_setups()
 
     def predecessor_ended(self) -> None:
-        """The process that this one replaced has ended: releases that it left unread are fetched.
+        """Called when the predecessor process has ended; fetches the releases that it left unread.
 
-        An engine sends them on the next connection that is opened, and ours have been open for long.
+        An engine sends them on the next connection opened to it. The connections of this process were opened
+        before, so a listening connection is opened to each engine.
         """
         self.switch.wheel.call_after(FETCH_DELAY, self._fetch_releases)
 
--- a/softswitch/net/listening_connection.py
+++ b/softswitch/net/listening_connection.py
@@ -1,8 +1,8 @@
-"""Connections to an engine that only listen, for releases that it wrote to a connection that is over.
+"""Short-lived listening connections, which receive releases that an engine wrote to a dead connection.
 
-An engine whose connection we gave up as silent may not know yet that it is over, and write the releases of
-calls set up there to it as before; they come again on the next connection that is opened. So one is opened
-every now and then while such calls are established.
+When this side gives up a silent connection, the engine may not have detected it and may still write the
+releases of calls that were set up on it to that connection. The engine sends them again on the next
+connection opened to it. So a listening connection is opened periodically while such calls are established.
 """
 
 from __future__ import annotations
@@ -16,48 +16,47 @@
 from softswitch.net.engine_codec import EngineMessage, MessageType, Release, encode_message
 from softswitch.net.engine_connection import EngineConnection
 
-# Ms. A release has to reach its caller within 1 s: so far apart are these connections, and so long are they
-# open; for so long that often, then rarely, then no more.
-OPEN_EVERY = 450.0
-OPEN_FOR = 250.0
-OFTEN_FOR = 12_000.0
-RARELY_EVERY = 3_000.0
-GIVE_UP_AFTER = 120_000.0
+# In ms. The intervals are chosen so that a release reaches its caller within 1 s.
+OPEN_INTERVAL = 450.0  # between listening connections, in the frequent phase
+OPEN_DURATION = 250.0  # of a listening connection
+FREQUENT_DURATION = 12_000.0  # length of the frequent phase, from the loss of the connection
+RARE_OPEN_INTERVAL = 3_000.0  # between listening connections after that phase
+GIVE_UP_AFTER = 120_000.0  # from the loss of the connection; then no more are opened
 
 
 class Link(Protocol):
-    """What is needed of the link to the engine."""
+    """The interface of the engine link that listening connections use."""
 
     server: str
     switch: Switch
 
     @property
     def may_listen(self) -> bool:
-        """Whether one more connection makes sense now."""
+        """Whether an additional listening connection is useful now."""
 
     @property
     def is_closing(self) -> bool:
-        """Whether the link is over."""
+        """Whether the link was closed."""
 
     @property
     def is_reading(self) -> bool:
-        """Whether what engines send is read now."""
+        """Whether data from engines is read."""
 
     def connect(self, listener: ClientFactory) -> None:
-        """Opens one more connection to the engine."""
+        """Opens an additional connection to the engine."""
 
     def engine_active(self) -> None:
-        """The engine gave a sign of life."""
+        """Called when data is received from the engine."""
 
     def release_received(self, message: EngineMessage) -> None:
-        """The engine ended a call."""
+        """Called for a release from the engine."""
 
     def partial_release_received(self, release: Release) -> None:
-        """A release whose end did not come."""
+        """Called for a truncated release, the rest of which will not arrive."""
 
 
 class ListeningConnection(ClientFactory):
-    """One connection that only listens, and not for long. Fulfils `engine_connection.ConnectionOwner`."""
+    """One short-lived listening connection. Implements `engine_connection.ConnectionOwner`."""
 
     noisy = False
 
@@ -66,44 +65,44 @@
         self.switch = link.switch
         self.server = link.server
         self.connection: EngineConnection | None = None
-        self._up = up  # all connections of this kind
+        self._up = up  # all listening connections to the engine that are established
 
     def buildProtocol(self, addr: object) -> EngineConnection:
         """Called by Twisted."""
         return EngineConnection(self)
 
     def connection_up(self, connection: EngineConnection) -> None:
-        """The connection is up; it is closed soon."""
+        """Called when the connection is established; schedules its end."""
         self.connection = connection
         self._up[connection] = None
         if not self.link.is_reading:
             connection.set_reading(False)
-        self.switch.wheel.call_after(OPEN_FOR, self._close_our_side)
-        self.switch.wheel.call_after(3 * OPEN_FOR, connection.transport.abortConnection)
+        self.switch.wheel.call_after(OPEN_DURATION, self._close_our_side)
+        self.switch.wheel.call_after(3 * OPEN_DURATION, connection.transport.abortConnection)
 
     def _close_our_side(self) -> None:
-        """What is on its way still comes."""
+        """Closes the sending direction, so that data in transit is still received."""
         if self.connection is not None:
             self.connection.transport.loseWriteConnection()
 
     def connection_down(self, connection: EngineConnection) -> None:
-        """The connection is over."""
+        """Called when the connection ends."""
         self.connection = None
         self._up.pop(connection, None)
 
     def piece_received(self) -> None:
-        """A piece of a message came."""
+        """Called for a piece of a message, which counts as a sign of life."""
         self.link.engine_active()
 
     def set_backpressured(self, backpressured: bool) -> None:
-        """Nothing waits to be written here."""
+        """Does nothing, because no messages are queued for this connection."""
 
     def partial_release_received(self, release: Release) -> None:
-        """A release whose end did not come."""
+        """Passes a truncated release on to the link."""
         self.link.partial_release_received(release)
 
     def message_received(self, message: EngineMessage) -> None:
-        """Releases are acknowledged and passed on; the rest comes on the link's own connection too."""
+        """Acknowledges releases and passes them on. The link's own connection receives the other messages."""
         self.link.engine_active()
         if message.type != MessageType.RELEASE:
             return
@@ -115,39 +114,37 @@
 
 
 class MissedReleases:
-    """Owner of the calls whose releases may be missed, and of the schedule of connections that listen for
-    them.
-    """
+    """Tracks the calls whose releases may be missed, and schedules the listening connections for them."""
 
     def __init__(self, link: Link) -> None:
         self.link = link
         self.switch = link.switch
-        self.calls: set[str] = set()  # established, and set up on a connection that is over
-        self.since = 0.0
-        self.up: dict[EngineConnection, None] = {}  # connections that listen now
+        self.calls: set[str] = set()  # established calls that were set up on a dead connection
+        self.given_up_at = 0.0  # when the last connection was given up
+        self.up: dict[EngineConnection, None] = {}  # established listening connections
         self._scheduled = False
 
     def connection_given_up(self) -> None:
-        """The calls that are established at the engine were set up on connections that are over."""
+        """Called when the link gives up its connection, on which all established calls were set up."""
         self.calls = {call.id for call in self.switch.calls.established_at(self.link.server)}
-        self.since = self.switch.wheel.now
+        self.given_up_at = self.switch.wheel.now
         if self.calls and not self._scheduled:
             self._scheduled = True
-            self.switch.wheel.call_after(OPEN_EVERY, self._listen)
+            self.switch.wheel.call_after(OPEN_INTERVAL, self._listen)
 
     def _listen(self) -> None:
         now = self.switch.wheel.now
         self.calls = {call for call in self.calls if call in self.switch.calls}
-        too_old = now - self.since >= GIVE_UP_AFTER
-        self._scheduled = bool(self.calls) and not too_old and not self.link.is_closing
+        is_expired = now - self.given_up_at >= GIVE_UP_AFTER
+        self._scheduled = bool(self.calls) and not is_expired and not self.link.is_closing
         if not self._scheduled:
             return
-        rarely = now - self.since > OFTEN_FOR
-        self.switch.wheel.call_after(RARELY_EVERY if rarely else OPEN_EVERY, self._listen)
+        is_rare = now - self.given_up_at > FREQUENT_DURATION
+        self.switch.wheel.call_after(RARE_OPEN_INTERVAL if is_rare else OPEN_INTERVAL, self._listen)
         if self.link.may_listen:
             self.open_connection()
 
     def open_connection(self) -> None:
-        """Opens one connection that listens."""
+        """Opens one listening connection."""
         self.switch.counters[Count.ENGINE_LISTENING_CONNECTIONS] += 1
         self.link.connect(ListeningConnection(self.link, self.up))
--- a/tests/test_engine_link.py
+++ b/tests/test_engine_link.py
@@ -1,4 +1,4 @@
-"""What waits at a link to be written, what is kept until it is acknowledged, and what is listened for."""
+"""Engine links: queued messages, unacknowledged releases, and listening connections for missed releases."""
 
 import pytest
 from support.switch_bench import A, Bench
@@ -15,7 +15,7 @@
 
 
 class Connection:
-    """A connection that keeps what is written to it."""
+    """A connection that records the messages written to it."""
 
     is_given_up = False
     last_piece_at = None
@@ -32,18 +32,18 @@
         self.is_read = reading
 
     def abortConnection(self):  # noqa: N802
-        """Nobody is there."""
+        """Does nothing: no peer is connected."""
 
 
 class LinkBench(Bench):
-    """A link to the one engine, whose connections are made by hand; it is the pool of the link as well."""
+    """A link to a single engine, with fake connections; also serves as the link's pool."""
 
     is_reading = may_open = True
 
     def __init__(self, **changes):
         super().__init__(servers=(A,), **changes)
         self.settings = self.switch.settings
-        self.opened = []  # factories that asked for a connection
+        self.opened = []  # factories for which a connection was requested
         self.link = EngineLink(self, self.switch, A, ("127.0.0.1", 1))
 
     def connect(self, address, factory):
@@ -52,24 +52,24 @@
     def needs_connection(self, server):
         return True
 
-    def connected(self):
+    def connect_link(self):
         connection = Connection(self.now)
         self.link.connection_up(connection)
         return connection
 
-    def taken(self, n=1):
-        """A call that the switch has."""
+    def requested_call(self, n=1):
+        """Requests the setup of a call and returns the call."""
         self.call(n)
         return self.switch.calls.get(f"{n:016x}")
 
 
-def test_a_release_that_waits_is_written_before_a_new_attempt_of_its_call():
-    """An engine that does not read for longer than the quiet time.
+def test_a_queued_release_is_written_before_a_new_attempt_of_its_call():
+    """An engine does not read for longer than the retry delay of an abandoned attempt.
 
-    The release of an attempt that was given up waits; a new attempt of the call is sent to the same engine.
+    The release of the abandoned attempt is queued, and a new attempt of the call is sent to the same engine.
     """
     bench = LinkBench()
-    connection, call = bench.connected(), bench.taken()
+    connection, call = bench.connect_link(), bench.requested_call()
     bench.link.send_setup(call)
     bench.link.set_backpressured(True)
     bench.link.send_release(Release(ONE, CANCELLED))
@@ -79,9 +79,9 @@
     assert bench.link.in_flight == {ONE}
 
 
-def test_a_new_attempt_that_is_withdrawn_leaves_the_release_of_the_one_before():
+def test_withdrawing_a_new_attempt_keeps_the_release_of_the_previous_one():
     bench = LinkBench()
-    connection, call = bench.connected(), bench.taken()
+    connection, call = bench.connect_link(), bench.requested_call()
     bench.link.send_setup(call)
     bench.link.set_backpressured(True)
     bench.link.send_release(Release(ONE, CANCELLED))
@@ -92,9 +92,9 @@
     assert connection.written == [("SETUP", ONE), ("RELEASE", ONE)]
 
 
-def test_an_engine_that_moves_takes_both_along_in_their_order():
+def test_the_queue_moves_to_the_new_address_of_an_engine_in_order():
     bench = LinkBench()
-    call = bench.taken()
+    call = bench.requested_call()
     bench.link.send_release(Release(ONE, CANCELLED))
     bench.link.send_setup(call)
     moved = EngineLink(bench, bench.switch, A, ("127.0.0.1", 2))
@@ -105,9 +105,9 @@
     assert not bench.link.withdraw_setup(ONE)
 
 
-def test_at_the_bound_a_set_up_goes_elsewhere_and_a_release_is_counted():
+def test_a_full_queue_returns_a_setup_as_unreachable_and_counts_a_dropped_release():
     bench = LinkBench()
-    call = bench.taken()
+    call = bench.requested_call()
     for n in range(10, MAX_QUEUED + 10):
         bench.link.send_release(Release(f"{n:016x}", CANCELLED))
     bench.link.send_setup(call)
@@ -116,52 +116,54 @@
     assert bench.switch.counters[Count.ENGINE_RELEASES_DROPPED] == 1
 
 
-# releases that were written and not acknowledged
+# unacknowledged releases
 
 
 @pytest.mark.parametrize(
-    ("age", "acknowledged", "again"),
+    ("age", "acknowledged", "resent"),
     [
         (0.0, False, True),
         (ACKNOWLEDGE_TIMEOUT, False, True),
-        (ACKNOWLEDGE_TIMEOUT + 5.0, False, False),  # taken to have arrived
+        (ACKNOWLEDGE_TIMEOUT + 5.0, False, False),  # counts as received
         (0.0, True, False),
     ],
 )
-def test_a_release_that_its_connection_took_along_is_written_again_within_its_time(age, acknowledged, again):
+def test_an_unacknowledged_release_of_a_lost_connection_is_resent_within_the_timeout(
+    age, acknowledged, resent
+):
     bench = LinkBench()
-    first = bench.connected()
+    first = bench.connect_link()
     bench.link.send_release(Release(ONE, CANCELLED))
     if acknowledged:
         bench.link.message_received(decode_message(encode_message(MessageType.ACKNOWLEDGE, ONE)))
     bench.run(age)
     bench.link.connection_down(first)
-    second = bench.connected()
+    second = bench.connect_link()
     assert first.written == [("RELEASE", ONE)]
-    assert second.written == ([("RELEASE", ONE)] if again else [])
-    assert bench.switch.counters[Count.ENGINE_RELEASES_RESENT] == again
+    assert second.written == ([("RELEASE", ONE)] if resent else [])
+    assert bench.switch.counters[Count.ENGINE_RELEASES_RESENT] == resent
 
 
-def test_only_the_oldest_releases_are_taken_to_have_arrived():
+def test_only_releases_older_than_the_timeout_count_as_received():
     bench = LinkBench()
-    first = bench.connected()
+    first = bench.connect_link()
     for n in (1, 2, 3):  # written 400 ms apart
         bench.link.send_release(Release(f"{n:016x}", CANCELLED))
         bench.run(400.0)
     bench.link.connection_down(first)
-    assert [call for _, call in bench.connected().written] == [f"{2:016x}", f"{3:016x}"]
+    assert [call for _, call in bench.connect_link().written] == [f"{2:016x}", f"{3:016x}"]
 
 
-def test_the_release_of_an_attempt_is_not_kept_as_the_end_of_its_connection_gives_it_up_too():
+def test_the_release_of_an_attempt_is_not_resent_because_the_engine_drops_it_with_the_connection():
     bench = LinkBench()
-    first, call = bench.connected(), bench.taken()
+    first, call = bench.connect_link(), bench.requested_call()
     bench.link.send_setup(call)
     bench.link.send_release(Release(ONE, CANCELLED))
     bench.link.connection_down(first)
-    assert bench.connected().written == []
+    assert bench.connect_link().written == []
 
 
-# releases that may have been missed
+# missed releases
 
 
 def established(bench, n):
@@ -170,66 +172,66 @@
     bench.switch.answered_by_engine(A, call.call, b"d")
 
 
-def test_connections_that_listen_are_opened_often_then_rarely_then_no_more():
+def test_listening_connections_are_opened_frequently_then_rarely_then_no_more():
     bench = LinkBench()
     established(bench, 1)
-    bench.connected()
+    bench.connect_link()
     bench.opened.clear()
     bench.link.missed_releases.connection_given_up()
-    bench.run(listening_connection.OFTEN_FOR)
-    often = len(bench.opened)
-    assert often == listening_connection.OFTEN_FOR // listening_connection.OPEN_EVERY
-    bench.run(listening_connection.GIVE_UP_AFTER - listening_connection.OFTEN_FOR)
-    rarely = (listening_connection.GIVE_UP_AFTER - listening_connection.OFTEN_FOR) // (
-        listening_connection.RARELY_EVERY
+    bench.run(listening_connection.FREQUENT_DURATION)
+    frequent = len(bench.opened)
+    assert frequent == listening_connection.FREQUENT_DURATION // listening_connection.OPEN_INTERVAL
+    bench.run(listening_connection.GIVE_UP_AFTER - listening_connection.FREQUENT_DURATION)
+    rare = (listening_connection.GIVE_UP_AFTER - listening_connection.FREQUENT_DURATION) // (
+        listening_connection.RARE_OPEN_INTERVAL
     )
-    assert len(bench.opened) - often == pytest.approx(rarely, abs=1)
+    assert len(bench.opened) - frequent == pytest.approx(rare, abs=1)
     last = len(bench.opened)
-    bench.run(10 * listening_connection.RARELY_EVERY)
+    bench.run(10 * listening_connection.RARE_OPEN_INTERVAL)
     assert len(bench.opened) == last
     assert bench.switch.counters[Count.ENGINE_LISTENING_CONNECTIONS] == last
 
 
-def test_nothing_is_listened_for_once_all_those_calls_are_over():
+def test_no_listening_connection_is_opened_after_the_calls_have_ended():
     bench = LinkBench()
     established(bench, 1)
-    bench.connected()
+    bench.connect_link()
     bench.link.missed_releases.connection_given_up()
-    bench.run(listening_connection.OPEN_EVERY)
-    established(bench, 2)  # set up on the connection that is up: nothing of it can be missed
+    bench.run(listening_connection.OPEN_INTERVAL)
+    established(bench, 2)  # set up on the current connection, so its release can't be missed
     opened = len(bench.opened)
     bench.switch.released_by_engine(A, ONE, 16)
-    bench.run(listening_connection.RARELY_EVERY)
+    bench.run(listening_connection.RARE_OPEN_INTERVAL)
     assert len(bench.opened) == opened
     assert bench.link.missed_releases.calls == set()
 
 
-def test_a_second_connection_given_up_starts_the_time_anew_and_adds_no_second_schedule():
+def test_giving_up_a_second_connection_restarts_the_schedule_without_duplicating_it():
     bench = LinkBench()
     established(bench, 1)
-    bench.connected()
+    bench.connect_link()
     bench.opened.clear()
     bench.link.missed_releases.connection_given_up()
-    bench.run(listening_connection.OFTEN_FOR - listening_connection.OPEN_EVERY)
+    bench.run(listening_connection.FREQUENT_DURATION - listening_connection.OPEN_INTERVAL)
     bench.link.missed_releases.connection_given_up()
     before = len(bench.opened)
-    bench.run(listening_connection.OFTEN_FOR)
-    often = listening_connection.OFTEN_FOR // listening_connection.OPEN_EVERY
-    assert len(bench.opened) - before == pytest.approx(often, abs=1)
+    bench.run(listening_connection.FREQUENT_DURATION)
+    frequent = listening_connection.FREQUENT_DURATION // listening_connection.OPEN_INTERVAL
+    assert len(bench.opened) - before == pytest.approx(frequent, abs=1)
 
 
-def test_a_message_of_no_call_is_no_acknowledgement():
+def test_a_message_without_a_call_id_acknowledges_nothing():
     bench = LinkBench()
-    first = bench.connected()
+    first = bench.connect_link()
     bench.link.send_release(Release(ONE, CANCELLED))
     bench.link.message_received(decode_message(encode_message(MessageType.ACKNOWLEDGE, NO_CALL)))
     bench.link.connection_down(first)
-    assert bench.connected().written == [("RELEASE", ONE)]
+    assert bench.connect_link().written == [("RELEASE", ONE)]
 
 
-def test_an_ending_process_opens_no_connection_that_would_take_releases_with_it():
+def test_an_exiting_process_opens_no_connection_on_which_releases_would_be_lost():
     bench = LinkBench()
-    bench.connected()
+    bench.connect_link()
     bench.may_open = False
     bench.link.listen_once()
     bench.link.connection_down(bench.link.connection)
@@ -241,10 +243,10 @@
     assert len(bench.opened) == 1
 
 
-def test_connections_that_come_up_while_engines_are_not_read_are_not_read_either():
+def test_connections_established_while_reading_is_paused_are_not_read():
     bench = LinkBench()
     bench.is_reading = False
-    connection = bench.connected()
+    connection = bench.connect_link()
     bench.link.listen_once()
     listening = Connection(bench.now)
     bench.opened[-1].connection_up(listening)
