--- a/softswitch/net/endpoint_watch.py
+++ b/softswitch/net/endpoint_watch.py
@@ -1,5 +1,6 @@
-"""Watches the endpoint list at the notice board: numbered events with the changes of the list of quote
-engines.
+"""Watches the endpoint list: receives numbered events with changes to the list of quote engines.
+
+The server of the watch is the notice board, the key `board` of the configuration.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 ENDPOINT_RECORD = Struct(">I4sHBBBHIQ")  # id, address, port, state, zone, kind, cell, weight, started
 EVENT_HEADER = Struct(">QB")  # number and type of an event
-NO_CHANGE, COMPLETE, CHANGES = 0, 1, 2  # types of events
+NO_CHANGE, COMPLETE, CHANGES = 0, 1, 2  # event types
 MAX_FRAME = 1 << 20  # bytes
 REVISION_SIZE = 8  # bytes
 WEIGHT_UNIT = 1000
@@ -30,17 +31,19 @@
     "leaving": i.EndpointState.DRAINING,
     "left": i.EndpointState.REMOVED,
 }
-SILENCE_TIMEOUT = 2_200.0  # ms; the board sends at least 'nothing new' once a second
-SWEEP_INTERVAL = 250.0  # ms between two looks at the silence
+SILENCE_TIMEOUT = (
+    2_200.0  # ms; the server sends an event at least once a second, NO_CHANGE if there is no other
+)
+SWEEP_INTERVAL = 250.0  # ms between two checks of the timeout
 CONNECT_TIMEOUT = 1.0  # s
 
 Address = tuple[str, int]
-ToClock = Callable[[int], float]  # Unix ms to the wheel's clock; 0 stays 0
+ToClock = Callable[[int], float]  # converts Unix ms to the clock of the timer wheel; 0 stays 0
 
 
 @dataclass(frozen=True, slots=True)
 class LocatedEndpoint:
-    """One entry of the list, and where it is called."""
+    """An entry of the endpoint list and the address to connect to."""
 
     endpoint: i.Endpoint
     address: Address
@@ -48,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListEvent:
-    """One numbered event."""
+    """A numbered event with a complete list or changes to it."""
 
     revision: int
     is_complete: bool
@@ -57,16 +60,16 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownEvents:
-    """The events that a configuration holds."""
+    """The events that a configuration contains."""
 
     revision: int
     events: list[ListEvent]
 
 
 def decode_endpoints(payload: bytes, to_clock: ToClock) -> list[LocatedEndpoint]:
-    """The records of an event."""
+    """Decodes the records of an event."""
     if len(payload) % ENDPOINT_RECORD.size:
-        raise ValueError(f"{len(payload)} bytes are no whole records")
+        raise ValueError(f"{len(payload)} bytes are not a multiple of the record size")
     endpoints = []
     for id_, address, port, state, _, _, cell, weight, started in ENDPOINT_RECORD.iter_unpack(payload):
         endpoint = i.Endpoint(f"s-{id_:08x}", cell, STATES[state], to_clock(started), weight / WEIGHT_UNIT)
@@ -75,7 +78,7 @@
 
 
 def parse_endpoints(hosts: Iterable[dict[str, Any]], to_clock: ToClock) -> list[LocatedEndpoint]:
-    """The hosts of an event in a configuration."""
+    """Parses the hosts of an event in a configuration."""
     endpoints = []
     for host in hosts:
         address, _, port = host["dial"].rpartition(":")
@@ -91,36 +94,36 @@
 
 
 class WatchConnection(Int32StringReceiver):
-    """One connection to the board."""
+    """A connection to the server of the watch."""
 
     MAX_LENGTH = MAX_FRAME
     factory: EndpointWatch
 
     def connectionMade(self) -> None:
-        """Called by Twisted: asks for the events after the last one that is known."""
+        """Called by Twisted; requests the events after the last known revision."""
         self.transport.setTcpNoDelay(True)
         self.transport.write(self.factory.revision.to_bytes(REVISION_SIZE, "big"))
         self.factory.connection_up(self)
 
     def stringReceived(self, frame: bytes) -> None:
-        """Called by Twisted: a frame is complete."""
+        """Called by Twisted for each complete frame."""
         if self is not self.factory.connection:
-            return  # what stands behind a bad frame, or comes from a board that was left
+            return  # frames after a bad one, or from a connection that was replaced
         try:
             number, type_ = EVENT_HEADER.unpack_from(frame)
             self.factory.event_received(number, type_, frame[EVENT_HEADER.size :])
         except Exception as e:
-            logger.warning("notice board: bad frame, connection closed: {!r}", e)
+            logger.warning("endpoint watch: bad frame, connection closed: {!r}", e)
             self.factory.reconnect()
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """Called by Twisted."""
-        logger.warning("notice board: frame of {} bytes, connection closed", length)
+        """Called by Twisted when a frame is longer than MAX_LENGTH."""
+        logger.warning("endpoint watch: frame of {} bytes, connection closed", length)
         self.transport.abortConnection()
 
 
 class EndpointWatch(ReconnectingClientFactory):
-    """Follows the board over connections that come and go; each event is taken in once, in order."""
+    """Keeps a connection to the watch server, and applies each event once and in order."""
 
     protocol = WatchConnection
     noisy = False
@@ -134,15 +137,13 @@
         self.switch = switch
         self.engines = engines
         self.to_clock = to_clock
-        self.revision = 0  # of the last event that was taken in
+        self.revision = 0  # of the last applied event
         self.connection: WatchConnection | None = None
         self.last_frame_at = switch.wheel.now
-        self.requested_after = (
-            0  # the revision after which events were missing, once they were requested again
-        )
+        self.requested_after = 0  # revision after which missing events were last requested
 
     def parse(self, config: dict[str, Any]) -> KnownEvents:
-        """The events that a configuration holds; nothing is taken in yet."""
+        """Parses the events that a configuration contains, without applying them."""
         events = []
         for event in config.get("notices") or ():
             pool = event["pool"]
@@ -151,14 +152,14 @@
         return KnownEvents(int(config.get("rev") or 0), events)
 
     def apply_known_events(self, known: KnownEvents) -> None:
-        """Takes in the events that a configuration holds."""
-        last = 0 if self.revision else known.revision
+        """Applies the events of a configuration that are newer than the applied ones."""
+        final_revision = 0 if self.revision else known.revision
         for event in known.events:
-            if event.revision > self.revision or not self.revision:  # else it is older than what we have
-                complete = event.is_complete or not self.revision
-                self._take(i.UpdateKind.COMPLETE if complete else i.UpdateKind.CHANGES, event.endpoints)
+            if event.revision > self.revision or not self.revision:
+                is_complete = event.is_complete or not self.revision
+                self._apply(i.UpdateKind.COMPLETE if is_complete else i.UpdateKind.CHANGES, event.endpoints)
                 self.revision = max(self.revision, event.revision)
-        self.revision = max(self.revision, last)
+        self.revision = max(self.revision, final_revision)
 
     def start(self) -> None:
         """Opens the first connection."""
@@ -169,24 +170,24 @@
         self.connector = self.reactor.connectTCP(*self.address, self, timeout=CONNECT_TIMEOUT)
 
     def move(self, address: Address) -> None:
-        """The board is at another address from now on; the numbers continue there."""
+        """Reconnects to another address of the watch server; the revisions continue there."""
         if address == self.address:
             return
-        left = self.connector
+        old_connector = self.connector
         self.address = address
         self.connection = None
         self.stopTrying()
         self.resetDelay()
         self.continueTrying = 1
         self._connect()
-        left.disconnect()
+        old_connector.disconnect()
 
     def connection_up(self, connection: WatchConnection) -> None:
-        """The connection is up."""
+        """Called when the connection is established."""
         self.connection = connection
         self.last_frame_at = self.switch.wheel.now
 
-    # What a connection to a board that was left still says of its end must not touch the new one.
+    # Twisted also reports the end of a replaced connection, which must not affect its successor.
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:
         """Called by Twisted."""
@@ -201,11 +202,12 @@
             super().clientConnectionLost(connector, reason)
 
     def event_received(self, number: int, type_: int, payload: bytes) -> None:
-        """An event, or the sign that there is none."""
+        """Applies an event. NO_CHANGE also means that the known endpoint list is current."""
         self.last_frame_at = self.switch.wheel.now
-        self.switch.lifecycle.endpoints_received(self.last_frame_at)  # even if it says that nothing is new
-        self.resetDelay()  # not before it speaks: one that hangs up on us at once is not called in a loop
-        if self._is_missing_before(number, type_) and self.requested_after != self.revision:
+        self.switch.lifecycle.endpoints_received(self.last_frame_at)
+        # Reset only after a frame: a server that closes each new connection must not be retried in a loop.
+        self.resetDelay()
+        if self._has_gap_before(number, type_) and self.requested_after != self.revision:
             self._request_missing(number)
             return
         if type_ not in (COMPLETE, CHANGES):
@@ -214,43 +216,48 @@
             self.switch.counters[Count.DUPLICATE_ENDPOINT_UPDATES] += 1
             return
         kind = i.UpdateKind.COMPLETE if type_ == COMPLETE else i.UpdateKind.CHANGES
-        self._take(kind, decode_endpoints(payload, self.to_clock))
+        self._apply(kind, decode_endpoints(payload, self.to_clock))
         self.revision = number
 
-    def _is_missing_before(self, number: int, type_: int) -> bool:
-        """Whether events were left out before this one."""
+    def _has_gap_before(self, number: int, type_: int) -> bool:
+        """Whether events between the last applied one and this one are missing."""
         next_number = self.revision + (1 if type_ == CHANGES else 0)
         return type_ != COMPLETE and number > next_number
 
     def _request_missing(self, number: int) -> None:
-        """Once: a board that leaves numbers out would be asked without end."""
+        """Requests the missing events by reconnecting.
+
+        Done once per gap: a server that skips numbers would otherwise be queried forever.
+        """
         self.requested_after = self.revision
         self.switch.counters[Count.ENDPOINT_UPDATES_REQUESTED] += 1
         logger.warning(
-            "notice board: events after {} are missing before {}, asking again", self.revision, number
+            "endpoint watch: events after {} are missing before {}, requesting them", self.revision, number
         )
         self.reconnect()
 
     def reconnect(self) -> None:
-        """Leaves this connection for a new one, which brings all that came after the last event that we
-        have.
-        """
-        left, self.connection = self.connection, None
-        if left is not None:
-            left.transport.abortConnection()
+        """Aborts the connection; on the new one, the server sends all events after the last applied one."""
+        old_connection, self.connection = self.connection, None
+        if old_connection is not None:
+            old_connection.transport.abortConnection()
 
-    def _take(self, kind: i.UpdateKind, located: list[LocatedEndpoint]) -> None:
-        # The links first: the update may send queued calls to a new engine at once.
+    def _apply(self, kind: i.UpdateKind, located: list[LocatedEndpoint]) -> None:
+        # The links are added first, because the update may send queued calls to a new engine at once.
         for entry in located:
             if entry.endpoint.state is not i.EndpointState.REMOVED:
                 self.engines.add_endpoint(entry.endpoint.server, entry.address)
         self.switch.endpoints_changed(i.EndpointsChanged(kind, tuple(entry.endpoint for entry in located)))
 
     def _sweep(self) -> None:
-        """A board that is silent has lost us: what it has to tell counts as told all the same."""
+        """Reconnects if the server is silent.
+
+        The server may have lost this connection. It counts events sent on it as delivered and does not repeat
+        them here.
+        """
         now = self.switch.wheel.now
         self.switch.wheel.call_after(SWEEP_INTERVAL, self._sweep)
         if self.connection is not None and now - self.last_frame_at > SILENCE_TIMEOUT:
-            logger.warning("notice board: silent for {:.0f} ms, connecting anew", now - self.last_frame_at)
+            logger.warning("endpoint watch: silent for {:.0f} ms, reconnecting", now - self.last_frame_at)
             self.last_frame_at = now
             self.reconnect()
