--- a/softswitch/net/__init__.py
+++ b/softswitch/net/__init__.py
@@ -1,1 +1,1 @@
-"""The wires: SIP and WebSocket callers, quote engines, the notice board."""
+"""Network protocols: SIP and WebSocket callers, quote engines, the endpoint watch and management."""
--- a/softswitch/net/handover.py
+++ b/softswitch/net/handover.py
@@ -1,12 +1,13 @@
-"""Passes the listeners from the serving process to its successor, through a Unix socket in $TMPDIR.
+"""Hands the listening sockets from the serving process to its successor, through a Unix socket in $TMPDIR.
 
-The successor is given the very sockets that listen, so that no connection waits in a queue which goes down
-with its process. While both live, the channel carries the releases that came to one and concern the other.
-Whatever is missing or refused, the successor starts as on a plain day. Which of the two takes callers, the
-lifecycle says.
+The successor receives the descriptors of the listening sockets, so no connection is lost in an accept queue
+that is closed with the predecessor. While both processes run, the channel also carries releases that one
+process received for calls of the other. If no handover is possible, the successor opens its own listeners.
+The lifecycle determines which of the two processes accepts callers.
 
-A line of the channel is a JSON object; `do` names what it is (the keys of `Handover.handlers`), and calls are
-named by `id`. The names are the same in every version, as either version hands over to the other.
+The channel carries one JSON object per line: `do` is the message type, a key of `Handover.handlers`, and
+`id` is a call id. The names are the same in every version, because different versions hand over to each
+other.
 """
 
 from __future__ import annotations
@@ -32,28 +33,32 @@
 from softswitch.net.sip_server import SipServer
 
 VERSION = 1
-SOCKET_PREFIX = "willowhitch"  # of the Unix sockets' names, in every version
-MAX_SOCKETS_TRIED = 4  # stale files among them
+SOCKET_PREFIX = "willowhitch"  # of the Unix sockets' file names, the same in every version
+MAX_SOCKETS_TRIED = 4  # including stale socket files
 MAX_LISTENERS = 4
-MAX_ADDRESS = 107  # bytes of a Unix socket's address
+MAX_ADDRESS = 107  # bytes in the address of a Unix socket
 MAX_LINE = 1_024  # bytes
-ANSWER_TIMEOUT = 1.5  # s that a predecessor may take to hand over
-REPORT_INTERVAL = 100.0  # ms between two reports of how many connections are held
-SHARE_OF_TWO = 0.5  # of what warming engines may get from this softswitch, while it is two processes
-ALONE_AFTER = 1_500.0  # ms after the other process has gone: what it sent last still counts
+ANSWER_TIMEOUT = 1.5  # s for the predecessor to hand over
+REPORT_INTERVAL = 100.0  # ms between two reports of the number of open connections
+# Fraction of the softswitch's rate to warming engines that each process may use while there are two
+# processes.
+FRACTION_PER_PROCESS = 0.5
+# Ms after the end of the peer process until this process uses the complete rate: the last call setups of the
+# peer still count.
+SOLE_PROCESS_DELAY = 1_500.0
 MIN_CONNECTIONS = 16
 STALE_SOCKET_ERRORS = (errno.ECONNREFUSED, errno.ENOENT)
 
 Address = tuple[str, int]
 Descriptors = dict[str, int]  # descriptors of listening sockets, by name
-Message = dict[str, Any]  # one line of the channel
+Message = dict[str, Any]  # a decoded line of the channel
 
 
 def open_listener(address: Address, backlog: int, shared: bool = False) -> socket.socket:
-    """A socket that listens there.
+    """Opens a listening socket.
 
-    `shared`: others of this user may do so too (SO_REUSEPORT), each with its own queue, which goes down with
-    it.
+    `shared`: other sockets of this user may listen on the address too (SO_REUSEPORT). Each has its own accept
+    queue, which is lost when the socket is closed.
     """
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -70,18 +75,18 @@
 
 
 class SocketDirectory:
-    """The directory of the Unix sockets, whose own path may be longer than their address can be."""
+    """The directory of the Unix sockets. Its path may be longer than a Unix socket address."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self._descriptor: int | None = None  # kept open from the first time that the path is too long
+        self._descriptor: int | None = None  # of the directory; opened once a path is too long
 
     def address_of(self, name: str) -> str:
-        """The address of the socket with this name."""
+        """The address of the socket with this file name."""
         path = self.path / name
         if len(os.fsencode(path)) <= MAX_ADDRESS:
             return str(path)
-        # An operator's TMPDIR must not keep a process from being replaced: named by descriptor it is short.
+        # A long TMPDIR must not prevent the handover. The path through the directory's descriptor is short.
         if self._descriptor is None:
             self._descriptor = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
         return f"/proc/self/fd/{self._descriptor}/{name}"
@@ -89,14 +94,14 @@
 
 @implementer(IFileDescriptorReceiver)
 class Channel(LineReceiver):
-    """One end of what two processes of one softswitch send each other."""
+    """One end of the connection between the two processes of a softswitch."""
 
     delimiter = b"\n"
     MAX_LENGTH = MAX_LINE
 
     def __init__(self, handover: Handover) -> None:
         self.handover = handover
-        self.descriptors: list[int] = []  # that came and are not taken over yet
+        self.descriptors: list[int] = []  # received and not taken over yet
 
     def connectionMade(self) -> None:
         """Called by Twisted."""
@@ -109,10 +114,10 @@
         for descriptor in self.descriptors:
             os.close(descriptor)
 
-    # A producer's calls: a process that does not read is given up, and nothing piles up for it.
+    # Producer interface: a peer that does not read is disconnected, so that no data is buffered for it.
 
     def pauseProducing(self) -> None:
-        """Called by Twisted."""
+        """Called by Twisted when the write buffer is full."""
         self.transport.abortConnection()
 
     def resumeProducing(self) -> None:
@@ -134,7 +139,7 @@
             message = orjson.loads(line)
             self.handover.handlers[message["do"]](self, message)
         except (ValueError, KeyError, TypeError) as e:
-            logger.warning("handover: a line that can't be read, connection closed: {!r}", e)
+            logger.warning("handover: malformed message, connection closed: {!r}", e)
             self.transport.abortConnection()
 
     def lineLengthExceeded(self, line: bytes) -> None:
@@ -147,7 +152,7 @@
 
 
 class PredecessorSearch(ClientFactory):
-    """Looks for the predecessor, at one socket after the other."""
+    """Searches for the predecessor by connecting to one Unix socket after the other."""
 
     noisy = False
 
@@ -160,7 +165,7 @@
         return Channel(self.handover)
 
     def try_next(self) -> None:
-        """Connects to the next socket; without one, there is no predecessor."""
+        """Connects to the next socket. Ends the search if there are no more."""
         if not self.paths:
             self.handover.search_ended(None)
             return
@@ -168,8 +173,8 @@
         try:
             address = self.handover.directory.address_of(self.path.name)
             self.handover.reactor.connectUNIX(address, self, timeout=ANSWER_TIMEOUT)
-        except Exception as e:  # Unix sockets are refused here
-            logger.warning("handover: no Unix socket, started as on a plain day: {}", e)
+        except Exception as e:  # the platform does not allow Unix sockets
+            logger.warning("handover: no Unix sockets, starting without a predecessor: {}", e)
             self.handover.search_ended(None)
 
     def clientConnectionFailed(self, connector: object, reason: Any) -> None:
@@ -180,9 +185,9 @@
 
 
 class Handover(Factory):
-    """This process's end: what it was given, what it gives, and the channel to the other process.
+    """The handover as seen by this process: receives and sends listeners, and owns the channel to the peer.
 
-    Fulfils `core.call.PeerProcess`.
+    Implements `core.call.PeerProcess`.
     """
 
     noisy = False
@@ -192,13 +197,13 @@
         self.switch = switch
         self.sip = sip
         self.directory = SocketDirectory(Path(directory))
-        self.ports: dict[str, Any] = {}  # what listens here, by name; Twisted ports
-        self.channel: Channel | None = None  # to the other process
-        self.is_predecessor = False  # the other process is the one that replaces this one
+        self.ports: dict[str, Any] = {}  # Twisted ports of the listeners, by name
+        self.channel: Channel | None = None  # to the peer process
+        self.is_predecessor = False  # whether the peer process replaces this one
         self.max_connections = sip.connections.max_connections  # of both processes together
-        self.reported_connections = -1  # to the successor
-        self.on_predecessor_ended: Callable[[], None] | None = None  # called as the predecessor has ended
-        # Called once with what was given, while the predecessor is searched for.
+        self.reported_connections = -1  # last number of connections reported to the successor
+        self.on_predecessor_ended: Callable[[], None] | None = None
+        # Set during the search for the predecessor; called once, with the received descriptors.
         self.on_search_end: Callable[[Descriptors | None], None] | None = None
         self.handlers: dict[str, Callable[[Channel, Message], None]] = {
             "take": self._listeners_requested,
@@ -214,10 +219,10 @@
     def _socket_prefix(self, address: Address) -> str:
         return f"{SOCKET_PREFIX}-{address[0]}-{address[1]}."
 
-    # the successor's side
+    # as the successor
 
     def predecessor_sockets(self, address: Address) -> list[Path]:
-        """Sockets of processes that may serve this address, the newest first."""
+        """Unix sockets of processes that may serve this address, newest first."""
         try:
             sockets = [
                 p for p in self.directory.path.glob(self._socket_prefix(address) + "*") if p.is_socket()
@@ -227,20 +232,24 @@
             return []
 
     def request_listeners(self, paths: list[Path], on_end: Callable[[Descriptors | None], None]) -> None:
-        """Calls back once, in time: with what was given, or None where nobody gives."""
+        """Requests the listeners from the predecessor.
+
+        Calls `on_end` once, within ANSWER_TIMEOUT: with the descriptors, or with None if there is no
+        predecessor that hands over.
+        """
         self.on_search_end = on_end
         PredecessorSearch(self, paths).try_next()
         self.reactor.callLater(ANSWER_TIMEOUT, self._search_timed_out)
 
     def _search_timed_out(self) -> None:
         if self.on_search_end is not None:
-            logger.warning("handover: the process before does not answer")
+            logger.warning("handover: the predecessor does not answer")
             if self.channel is not None:
                 self.channel.transport.abortConnection()
             self.search_ended(None)
 
     def search_ended(self, given: Descriptors | None) -> None:
-        """The predecessor has given its listeners, or there is none that does."""
+        """Ends the search, with the received descriptors or None."""
         if self.on_search_end is not None:
             on_end, self.on_search_end = self.on_search_end, None
             on_end(given)
@@ -248,44 +257,44 @@
     def _listeners_given(self, channel: Channel, message: Message) -> None:
         names = [str(name) for name in message["ports"]]
         if self.on_search_end is None or len(names) != len(channel.descriptors):
-            raise ValueError("not what was asked for")
+            raise ValueError("unexpected listeners")
         given = dict(zip(names, channel.descriptors, strict=True))
         channel.descriptors = []
         self.switch.peer_process = self
-        self.switch.apply_slow_start_share(SHARE_OF_TWO)
+        self.switch.apply_slow_start_share(FRACTION_PER_PROCESS)
         self._connections_reported(channel, message)
         self.search_ended(given)
 
     def _connections_reported(self, channel: Channel, message: Message) -> None:
-        """So many connections the predecessor still holds: both together stay within the limit."""
+        """Reduces the limit of this process by the predecessor's connections: it applies to both together."""
         if not self.is_predecessor:
-            left = self.max_connections - int(message["lines"])
-            self.sip.connections.max_connections = max(MIN_CONNECTIONS, left)
+            remaining = self.max_connections - int(message["lines"])
+            self.sip.connections.max_connections = max(MIN_CONNECTIONS, remaining)
 
-    # the predecessor's side
+    # as the predecessor
 
     def listen_for_successor(self, address: Address) -> None:
-        """Others may take over from here on."""
+        """Opens the Unix socket on which a successor can request the listeners."""
         name = f"{self._socket_prefix(address)}{os.getpid()}"
         try:
             (self.directory.path / name).unlink(missing_ok=True)
             self.reactor.listenUNIX(self.directory.address_of(name), self, mode=0o600)
-        except Exception as e:  # the feature steps aside, never the softswitch
+        except Exception as e:  # the softswitch keeps running without the handover
             logger.warning("handover: not offered: {}", e)
 
     def buildProtocol(self, addr: object) -> Channel | None:
-        """Called by Twisted as a successor connects."""
+        """Called by Twisted when a successor connects."""
         return Channel(self) if self.channel is None else None
 
     def channel_opened(self, channel: Channel) -> None:
-        """The channel is up; a successor asks for the listeners."""
+        """Called when the channel is open; a successor then requests the listeners."""
         self.channel = channel
         if self.on_search_end is not None:
             channel.send("take", v=VERSION)
 
     def _listeners_requested(self, channel: Channel, message: Message) -> None:
         if message["v"] != VERSION or self.on_search_end is not None:
-            raise ValueError("not this version")
+            raise ValueError("unsupported version or unexpected request")
         if self.switch.lifecycle.phase is Phase.STOPPING or not self.ports:
             channel.transport.loseConnection()
             return
@@ -294,12 +303,12 @@
         for port in self.ports.values():
             channel.transport.sendFileDescriptor(port.fileno())
         channel.send("given", ports=list(self.ports), lines=len(self.sip.connections))
-        self.switch.apply_slow_start_share(SHARE_OF_TWO)
+        self.switch.apply_slow_start_share(FRACTION_PER_PROCESS)
         self._report_connections()
         logger.info("handover: listeners given to the next process")
 
     def _successor_serves(self, channel: Channel, message: Message) -> None:
-        """The successor takes the new connections from now on."""
+        """Stops accepting connections, because the successor accepts them now."""
         if self.is_predecessor:
             for port in self.ports.values():
                 port.stopReading()
@@ -307,7 +316,7 @@
             logger.info("handover: the next process takes the callers")
 
     def _report_connections(self) -> None:
-        """Reports to the successor how many connections are still held here."""
+        """Reports the number of open connections to the successor, repeatedly."""
         if self.channel is None or not self.is_predecessor:
             return
         connections = len(self.sip.connections)
@@ -316,14 +325,14 @@
             self.reported_connections = connections
         self.switch.wheel.call_after(REPORT_INTERVAL, self._report_connections)
 
-    # both sides
+    # in both roles
 
     def _phase_changed(self, phase: Phase) -> None:
         if phase is Phase.SERVING and self.channel is not None and not self.is_predecessor:
             self.channel.send("serving")
 
     def channel_lost(self, channel: Channel) -> None:
-        """The other process is gone, or gives this one up."""
+        """Called when the channel is closed, because the peer process ended or disconnected."""
         if channel is not self.channel:
             return
         self.channel = None
@@ -332,41 +341,41 @@
             return
         if self.switch.peer_process is self:
             self.switch.peer_process = None
-            self.switch.wheel.call_after(ALONE_AFTER, self._alone)
+            self.switch.wheel.call_after(SOLE_PROCESS_DELAY, self._restore_slow_start_rate)
         if self.is_predecessor:
-            self._successor_gone()
+            self._successor_ended()
         else:
             self.sip.connections.max_connections = self.max_connections
             if self.on_predecessor_ended is not None:
                 self.on_predecessor_ended()
 
-    def _successor_gone(self) -> None:
+    def _successor_ended(self) -> None:
         self.is_predecessor = False
         self.reported_connections = -1
         if self.switch.lifecycle.take_back(self.switch.wheel.now):
-            logger.warning("handover: the next process is gone, callers are taken here again")
+            logger.warning("handover: the successor ended, callers are taken here again")
             for port in self.ports.values():
                 port.startReading()
 
-    def _alone(self) -> None:
+    def _restore_slow_start_rate(self) -> None:
         if self.switch.peer_process is None:
             self.switch.apply_slow_start_share(1.0)
 
-    # as a `core.call.PeerProcess`: what concerns calls of the other process
+    # implementation of `core.call.PeerProcess`: forwards releases of calls of the peer process
 
     def caller_released(self, call: str, cause: int) -> None:
-        """A caller ended a call that is not known here."""
-        self._pass_on("release", call, cause)
+        """Forwards the release by a caller of a call unknown to this process."""
+        self._forward("release", call, cause)
 
     def engine_released(self, call: str, cause: int) -> None:
-        """An engine ended a call that is not known here."""
-        self._pass_on("cleared", call, cause)
+        """Forwards the release by an engine of a call unknown to this process."""
+        self._forward("cleared", call, cause)
 
     def release_undeliverable(self, call: str, cause: int) -> None:
-        """A call is over, and no caller is connected here who could be told."""
-        self._pass_on("released", call, cause)
+        """Forwards the release of a call whose caller is not connected to this process."""
+        self._forward("released", call, cause)
 
-    def _pass_on(self, do: str, call: str, cause: int) -> None:
+    def _forward(self, do: str, call: str, cause: int) -> None:
         self.switch.counters[Count.PASSED_TO_PEER_PROCESS] += 1
         if self.channel is not None:
             self.channel.send(do, id=call, cause=cause)
@@ -374,7 +383,7 @@
     def _release_received(self, channel: Channel, message: Message) -> None:
         call, cause = message["id"], int(message["cause"])
         if not CALL_ID.match(call):
-            raise ValueError("no id of a call")
+            raise ValueError("invalid call id")
         if message["do"] == "released":
             self.sip.calls.call_released(call, cause)
         else:
--- a/softswitch/net/twisted_internals.py
+++ b/softswitch/net/twisted_internals.py
@@ -1,6 +1,6 @@
-"""The places where Twisted's own interfaces do not reach, so that its private fields are used.
+"""Access to private fields of Twisted, for which it has no public interface.
 
-Each is used here alone; tests/test_read_scheduling.py and tests/test_core.py would show a change of them.
+No other module uses them. tests/test_read_scheduling.py and tests/test_core.py fail if they change.
 """
 
 from __future__ import annotations
@@ -12,17 +12,16 @@
 
 
 def has_unwritten_bytes(transport: Any) -> bool:
-    """Whether some of what was written to a TCP transport has not left the process.
+    """Whether a TCP transport still buffers bytes that were written to it.
 
-    The transport tells of it only by its producer's calls, which come too late at the end of the process.
+    The public interface reports this only through producer callbacks, which come too late when the process
+    exits.
     """
-    return bool(len(transport.dataBuffer) > transport.offset or transport._tempDataLen)  # noqa: SLF001  # the module tells why
+    return bool(len(transport.dataBuffer) > transport.offset or transport._tempDataLen)  # noqa: SLF001  # see module docstring
 
 
 def read_now(transport: Any) -> bool:
-    """Reads what lies unread at a TCP transport, without waiting for the reactor; false if it was closed
-    by that.
-    """
+    """Reads from a TCP transport without waiting for the reactor; returns False if that closed it."""
     reason = transport.doRead()
     if reason is not None:
         transport.connectionLost(Failure(reason))
@@ -30,7 +29,7 @@
 
 
 class WakeNotifier:
-    """Stands in for the reactor's epoll object and calls back when it returns with something to do."""
+    """Wraps the reactor's epoll object, and calls back when it returns with events."""
 
     def __init__(self, poller: Any, on_wake: Callable[[], None]) -> None:
         self._poller = poller
@@ -42,7 +41,10 @@
         self.fileno = poller.fileno
 
     def poll(self, timeout: float, max_events: int) -> Any:
-        """As epoll's; empty when a timer is due, which reads the clock itself and sees a standstill."""
+        """Polls as epoll does. Calls back only if there are events.
+
+        Without events a timer is due, which reads the clock itself and detects a paused process.
+        """
         events = self._poller.poll(timeout, max_events)
         if events:
             self._on_wake()
@@ -50,9 +52,10 @@
 
 
 def notify_wakes(reactor: Any, on_wake: Callable[[], None]) -> bool:
-    """Has `on_wake` called whenever the reactor comes back from waiting with something to do.
+    """Has `on_wake` called whenever the reactor returns from polling with events.
 
-    False: it is not epoll's reactor, and nothing is changed. Twisted has no hook between waiting and reading.
+    Twisted has no hook between polling and reading. Returns False, and changes nothing, if the reactor does
+    not use epoll.
     """
     if not hasattr(reactor, "_poller"):
         return False
