--- a/softswitch/log_rate_limit.py
+++ b/softswitch/log_rate_limit.py
@@ -1,5 +1,6 @@
-"""Limits the rate of log lines: whoever sends us nonsense at full speed must not fill the log, nor cost us
-the writing.
+"""Limits the rate of log lines.
+
+A peer that sends malformed messages at full speed must neither fill the log nor take up time for writing it.
 """
 
 from __future__ import annotations
@@ -12,43 +13,43 @@
 if TYPE_CHECKING:
     from loguru import Record
 
-MAX_LINES = 10  # of one place in the code ...
-INTERVAL = 10.0  # ... in so many seconds
+MAX_LINES = 10  # per log statement and interval
+INTERVAL = 10.0  # s
 
 
 @dataclass(slots=True)
-class _Place:
-    """One place in the code that logs."""
+class _LogStatement:
+    """The lines of one log statement in the current interval."""
 
-    interval_began: float
+    interval_started_at: float
     lines: int = 0
-    left_out: int = 0
+    suppressed: int = 0
 
 
 class LogRateLimit:
-    """A filter for loguru's sinks: each place in the code may write so many lines in an interval.
+    """A filter for loguru sinks: each log statement may write at most MAX_LINES lines per INTERVAL.
 
-    The first line after that says how many were left out. It keeps one entry a place, whatever the lines
-    hold.
+    The first line of a later interval states how many were suppressed. There is one entry per log statement,
+    regardless of the text of the lines, so memory use is bounded.
     """
 
     def __init__(self, clock: Callable[[], float] = monotonic) -> None:
         self._clock = clock
-        self._places: dict[tuple[str, int], _Place] = {}
+        self._statements: dict[tuple[str, int], _LogStatement] = {}  # by module and line number
 
     def __call__(self, record: Record) -> bool:
-        """Whether this record is to be written."""
+        """Whether to write this record. Adds the number of suppressed lines to its message."""
         now = self._clock()
         key = (record["name"] or "", record["line"])
-        place = self._places.setdefault(key, _Place(now))
-        if now - place.interval_began >= INTERVAL:
-            place.interval_began = now
-            place.lines = 0
-        place.lines += 1
-        if place.lines > MAX_LINES:
-            place.left_out += 1
+        statement = self._statements.setdefault(key, _LogStatement(now))
+        if now - statement.interval_started_at >= INTERVAL:
+            statement.interval_started_at = now
+            statement.lines = 0
+        statement.lines += 1
+        if statement.lines > MAX_LINES:
+            statement.suppressed += 1
             return False
-        if place.left_out:
-            record["message"] += f" ({place.left_out} more like it were left out)"
-            place.left_out = 0
+        if statement.suppressed:
+            record["message"] += f" ({statement.suppressed} more like it were left out)"
+            statement.suppressed = 0
         return True
--- a/tests/test_log_rate_limit.py
+++ b/tests/test_log_rate_limit.py
@@ -16,4 +16,4 @@
     assert said(2, 1) == ["caller 0"]  # another place is not touched
     now[0] = INTERVAL
     assert said(1, 2) == ["caller 0 (990 more like it were left out)", "caller 1"]
-    assert len(quiet._places) == 2
+    assert len(quiet._statements) == 2
