--- a/softswitch/__main__.py
+++ b/softswitch/__main__.py
@@ -1,15 +1,13 @@
-"""Runs one softswitch: reads its configuration, serves until it is asked to stop, and tells why it could
-not.
-"""
+"""Runs one softswitch process: reads the configuration, serves until stopped, and reports startup errors."""
 
-# ruff: noqa: E402, I001  # signals first, then the trimmed imports
+# ruff: noqa: E402, I001  # signals first, then lazy imports, then all others
 from __future__ import annotations
 
 from softswitch import signals
 
-signals.keep()  # before all that takes time
+signals.start_recording()  # before the imports, which take time
 
-import softswitch.lazy_import  # noqa: F401  # what follows imports what it keeps out
+import softswitch.lazy_import  # noqa: F401  # before the imports that would load the unused modules
 
 import gc
 import signal
@@ -32,7 +30,7 @@
 
 
 def log_to_stderr(as_json: bool = False, **bound: str) -> None:
-    """Writes the log as plain lines, or as JSON with these fields."""
+    """Configures the log on stderr, as plain lines or as JSON with the `bound` fields."""
     level = environment.variable(environment.LOG_LEVEL, "INFO")
     logger.remove()
     form: dict[str, Any] = {"serialize": True} if as_json else {"format": LOG_FORMAT}
@@ -41,7 +39,7 @@
 
 
 def log_fault(event: dict[str, Any]) -> None:
-    """A fault in a callback of the reactor is one line in the log, no crash."""
+    """Logs an exception in a reactor callback in one line. The process continues."""
     failure = event.get("log_failure")
     if failure is not None:
         where = failure.getTraceback().strip().splitlines()[-2:]
@@ -49,13 +47,16 @@
 
 
 def build() -> Application | None:
-    """A started softswitch; None if a stop was asked for already. ConfigurationError if it can't serve."""
+    """Builds and starts the softswitch. Returns None if a stop signal was received before.
+
+    Raises ConfigurationError if it can't be started.
+    """
     configuration = load_configuration()
     tables = load_operator_file()
     if tables and tables.logs.form == "json":
         log_to_stderr(as_json=True, softswitch=configuration.name)
     if signals.stop_requested():
-        return None  # nobody was let in yet
+        return None  # no caller was accepted yet
     try:
         application = Application(reactor, configuration, tables)
         application.start()
@@ -69,7 +70,7 @@
 
 
 def handle_signals(application: Application) -> None:
-    """From now on signals reach the softswitch, in the reactor's thread."""
+    """Installs the signal handlers, which run in the reactor's thread."""
     actions = {
         signal.SIGTERM: application.shutdown.begin,
         signal.SIGINT: application.shutdown.begin,
@@ -80,7 +81,7 @@
 
 
 def main() -> int:
-    """Returns the exit code."""
+    """Runs the softswitch and returns the exit code."""
     log_to_stderr()
     try:
         application = build()
@@ -96,7 +97,7 @@
     handle_signals(application)
     gc.collect()
     gc.set_threshold(*GC_THRESHOLDS)
-    gc.freeze()  # what is here now stays: a full collection need not look at it, and pauses stay short
+    gc.freeze()  # exempts the permanent startup objects from full collections, which keeps their pauses short
     reactor.run(installSignalHandlers=False)
     if application.failure:
         print(f"willowhitch: {application.failure}", file=sys.stderr)
--- a/softswitch/components.py
+++ b/softswitch/components.py
@@ -1,8 +1,7 @@
-"""Optional components: made from their table of the operator file, started, reloaded, asked for figures,
-stopped.
+"""Optional components: created from their tables in the operator file, started, reloaded and stopped.
 
-A component is named here by its table and by the place that makes it, which is loaded only where the table is
-there. The process holds a list of them and knows no component by name.
+FACTORIES maps each table to the module that creates its component. The module is loaded only if the operator
+file has the table. The rest of the process handles components without knowing them by name.
 """
 
 from __future__ import annotations
@@ -21,99 +20,98 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Maker:
-    """Where a component is made, and the extra of the distribution that brings its packages."""
+class ComponentFactory:
+    """The module that creates a component, and the extra of the distribution that installs its packages."""
 
-    module: str  # has `make(table, host)`
+    module: str  # defines `make(table, host)`
     extra: str
 
 
-MAKERS = {  # by table of the operator file
-    "record": Maker("softswitch.measure.recording", "record"),
-    "calls": Maker("softswitch.net.call_history", "operator"),
-    "fleet": Maker("softswitch.net.peers", "fleet"),
-    "budgets": Maker("softswitch.net.budgets", "fleet"),
+FACTORIES = {  # by table of the operator file
+    "record": ComponentFactory("softswitch.measure.recording", "record"),
+    "calls": ComponentFactory("softswitch.net.call_history", "operator"),
+    "fleet": ComponentFactory("softswitch.net.peers", "fleet"),
+    "budgets": ComponentFactory("softswitch.net.budgets", "fleet"),
 }
 
-Table = Any  # one table of the operator file, checked by its schema in `operator.tables`
-ManagementResponse = tuple[int, dict[str, Any]]  # of a management call: status, and what goes out as JSON
+Table = Any  # a table of the operator file, checked by its schema in `operator.tables`
+ManagementResponse = tuple[int, dict[str, Any]]  # HTTP status and JSON body
 
 
 class ComponentError(Exception):
-    """A component that can't be made from its table; the text names the key and the remedy."""
+    """A component can't be created from its table. The message names the key and the remedy."""
 
 
 class Component(Protocol):
-    """What the softswitch asks of an optional component."""
+    """The interface of an optional component."""
 
     def start(self) -> None:
-        """The softswitch starts; an OSError or ComponentError ends it with one line."""
+        """Called at startup. An OSError or ComponentError ends the process with a one-line message."""
 
     def reload(self, table: Table, settings: i.Settings) -> str:
-        """SIGHUP: the component's table as it is now (None if it is gone) and the settings that hold from now
-        on.
+        """Called on SIGHUP with the component's new table (None if it was removed) and the new settings.
 
-        What it can't take before the next start is named in the text that is returned.
+        Returns a text that names what changes only at the next start; empty if everything was applied.
         """
 
     def figures(self) -> dict[str, Any]:
-        """What it adds to the figures at the management address."""
+        """Figures that the component adds to the metrics at the management address."""
 
     def stop(self) -> None:
-        """The process ends; nothing is sent after it."""
+        """Called when the process stops. The component sends nothing afterwards."""
 
 
 @dataclass(frozen=True, slots=True)
 class ManagementRoute:
-    """A management call of a component: its method, and what answers the rest of the path."""
+    """The HTTP method and the handler of a management request; the handler receives the rest of the path."""
 
     method: str
     handler: Callable[[str], ManagementResponse]
 
 
 def settings_digest(settings: i.Settings) -> str:
-    """Tells softswitches with other settings apart."""
+    """A digest of the settings, to detect softswitches that have different ones."""
     return blake2b(canonical_text(settings).encode(), digest_size=DIGEST_SIZE).hexdigest()
 
 
 @dataclass
 class Host:
-    """What a component may use of its softswitch."""
+    """The parts of the softswitch that a component may use."""
 
     name: str
     switch: Any  # core.switch.Switch
     reactor: Any
-    unix_offset: float  # the wheel's clock in ms less Unix ms: clock - offset is Unix time
-    folder: Path  # relative paths of the operator file are beside it
-    settings: i.Settings  # that the process started with
-    # Calls of components at the management address, by path or by a beginning that ends with `/`.
+    unix_offset: float  # time of the timer wheel minus Unix time, in ms
+    folder: Path  # of the operator file; its relative paths are resolved against it
+    settings: i.Settings  # the settings at startup
+    # Requests to the management address that components handle, by path or by a prefix that ends with `/`.
     management_routes: dict[str, ManagementRoute] = field(default_factory=dict)
-    tables: Any = None  # all of the operator file
-    components: dict[str, Any] = field(default_factory=dict)  # those that are made already
+    tables: Any = None  # all tables of the operator file
+    components: dict[str, Any] = field(default_factory=dict)  # components created so far, by table
     version: str = ""  # of the program
-    management_address: str = ""  # where operators call
+    management_address: str = ""  # empty if there is none
 
 
 class Components:
-    """The components that an operator file asks for, in the order of MAKERS."""
+    """The components that an operator file configures, in the order of FACTORIES."""
 
     def __init__(self, tables: Any, host: Host) -> None:
         self.host = host
         self.by_name: dict[str, Component] = {}
         host.tables = tables
         host.components = self.by_name
-        for name, maker in MAKERS.items():
+        for name, factory in FACTORIES.items():
             table = getattr(tables, name, None)
             if table is not None:
-                self.by_name[name] = _make(name, maker, table, host)
+                self.by_name[name] = _create(name, factory, table, host)
 
     def start(self) -> None:
-        """Starts all."""
+        """Starts all components."""
         for component in self.by_name.values():
             component.start()
 
     def reload(self, tables: Any, settings: i.Settings) -> list[str]:
-        """Gives each its table as it is now; what changes at the next start only."""
+        """Reloads all components; returns texts that name what changes only at the next start."""
         if self.by_name:
             self.host.tables = tables
         delayed = [
@@ -123,16 +121,16 @@
         return [f"the operator file's {what}" for what in delayed if what]
 
     def stop(self) -> None:
-        """Stops all."""
+        """Stops all components."""
         for component in self.by_name.values():
             component.stop()
 
 
-def _make(name: str, maker: Maker, table: Table, host: Host) -> Component:
+def _create(name: str, factory: ComponentFactory, table: Table, host: Host) -> Component:
     try:
-        make = import_module(maker.module).make
+        make = import_module(factory.module).make
     except ImportError as e:
-        remedy = f"pip install 'willowhitch[{maker.extra}]'"
+        remedy = f"pip install 'willowhitch[{factory.extra}]'"
         raise ComponentError(f"{name}: needs {e.name}: {remedy}") from None
     try:
         component: Component = make(table, host)
--- a/softswitch/configuration.py
+++ b/softswitch/configuration.py
@@ -1,4 +1,4 @@
-"""Reads the files that a softswitch starts with: configuration, call-control settings, operator file."""
+"""Reads the files of a softswitch: configuration, call-control settings and operator file."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 DEFAULT_MEMORY_MB = 1_000
 DEFAULT_SEED = "0"  # hexadecimal
 
-Json = Any  # a value as `orjson.loads` gives it; checked before it is used
+Json = Any  # an unchecked value from `orjson.loads`
 
 
 class ConfigurationError(Exception):
-    """A configuration that cannot be served; the text names the file or key, and the remedy."""
+    """The configuration is invalid. The message names the file or key, and the remedy."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
 
     @classmethod
     def parse(cls, text: Json) -> Address:
-        """`host:port`; ValueError if it is none."""
+        """Parses `host:port`. Raises ValueError if the text is malformed."""
         host, _, port = str(text).rpartition(":")
         if not host or not port.isdigit() or not 0 < int(port) < 65536:
             raise ValueError(f"{text!r} is no address")
@@ -45,79 +45,80 @@
 
     @property
     def pair(self) -> tuple[str, int]:
-        """As sockets take it."""
+        """The address as a tuple, as sockets expect it."""
         return (self.host, self.port)
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the platform allows this process."""
+    """Resource limits of this process, set by the platform."""
 
     memory_mb: int = DEFAULT_MEMORY_MB
-    sockets: int | None = None  # descriptors; None: as the system says
+    sockets: int | None = None  # max file descriptors; None: the limit of the operating system
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One configuration, with what a reload can change read and checked.
+    """A configuration. The values that a reload can change are parsed and checked.
 
-    The rest is read at the start alone: its properties raise ValueError or TypeError where it can't be taken.
+    The other values are only read at startup, through properties that raise ValueError or TypeError if a
+    value is invalid.
     """
 
-    document: dict[str, Json]  # the JSON object that it came from
+    document: dict[str, Json]  # the JSON object of the file
     settings: i.Settings
-    board: Address
+    board: Address  # server of the endpoint watch
 
     @property
     def name(self) -> str:
-        """The softswitch's name."""
+        """The name of the softswitch."""
         return str(self.document["name"])
 
     @property
     def listen(self) -> Address:
-        """Where callers connect."""
+        """The address on which callers connect."""
         return Address.parse(self.document["listen"])
 
     @property
     def management(self) -> Address | None:
-        """Where operators connect; None: nowhere."""
+        """The management address, on which operators connect; None if there is none."""
         text = self.document["mgmt"]
         if not text:
             return None
         try:
             return Address.parse(text)
         except ValueError as e:
-            raise ConfigurationError(f"mgmt (or $BALANCER_MGMT): {e}; address:port is wanted") from None
+            raise ConfigurationError(f"mgmt (or $BALANCER_MGMT): {e}; expected address:port") from None
 
     @property
     def seed(self) -> int:
-        """Of the random numbers."""
+        """The seed of the random number generators."""
         return int(str(self.document.get("seed") or DEFAULT_SEED), 16)
 
     @property
     def limits(self) -> Limits:
-        """What the platform allows."""
+        """The resource limits of this process."""
         limits = self.document.get("limits") or {}
         sockets = limits.get("sockets")
         return Limits(int(limits.get("memory_mb") or DEFAULT_MEMORY_MB), int(sockets) if sockets else None)
 
     @property
     def known_events(self) -> dict[str, Json]:
-        """The endpoint list's events up to now, as the board's watch reads them."""
+        """The initial events of the endpoint list, for `EndpointWatch.parse`."""
         return self.document.get("known") or {}
 
     def changed_keys(self, other: Configuration, keys: tuple[str, ...]) -> list[str]:
-        """Those of these keys that have other values in the other one."""
+        """The keys among `keys` whose values differ between the two configurations."""
         return [key for key in keys if self.document.get(key) != other.document.get(key)]
 
     def with_values_of(self, other: Configuration, keys: tuple[str, ...]) -> Configuration:
-        """This one, with these keys as the other one has them."""
-        kept = {key: other.document[key] for key in keys if key in other.document}
-        return replace(self, document=self.document | kept)
+        """A copy of this configuration, with the values of `keys` taken from the other one."""
+        values = {key: other.document[key] for key in keys if key in other.document}
+        return replace(self, document=self.document | values)
 
 
 def load_document() -> dict[str, Json]:
-    """The configuration file's object, completed from the environment."""
+    """Reads the JSON object of the configuration file, and completes it from the environment."""
     path = os.environ.get("BALANCER_CONFIG", "")
     if not path:
         raise ConfigurationError("BALANCER_CONFIG is not set")
@@ -130,15 +131,16 @@
         raise ConfigurationError(f"{path}: not an object")
     document.setdefault("name", os.environ.get("BALANCER_NAME", "softswitch"))
     document.setdefault("listen", os.environ.get("BALANCER_LISTEN", ""))
-    # Here the environment wins: while a process is replaced, two may read one file, and each has its own.
+    # Here the environment takes precedence: during a replacement two processes may read the same file, and
+    # each needs a management address of its own.
     document["mgmt"] = os.environ.get("BALANCER_MGMT") or document.get("mgmt") or ""
     return document
 
 
 def load_configuration(running: Configuration | None = None) -> Configuration:
-    """Reads the configuration strictly, before anything of it is taken.
+    """Reads and checks the complete configuration.
 
-    `running`: the one in force. A file that lacks a key that it has is not complete.
+    `running`: the current configuration, if any. A file that lacks one of its keys is rejected as incomplete.
     """
     document = load_document()
     for key in running.document if running else ():
@@ -155,17 +157,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlSettings:
-    """What deploy/control.toml says; the names are its keys."""
+    """The call-control settings of deploy/control.toml. The field names are its keys."""
 
-    listen: str = ""  # address:port; empty: off
-    most_sockets: int = 100
-    most_open: int = 1_000  # call setups of one socket that wait for their answer
-    keep_s: float = 30.0  # an established call that nobody watches is released after this
-    origins: tuple[str, ...] = ()  # web pages that may connect; programs send no Origin
+    listen: str = ""  # address:port; empty: the API is off
+    most_sockets: int = 100  # max connections
+    most_open: int = 1_000  # max unanswered call setups of one connection
+    keep_s: float = 30.0  # an established call that no connection watches is released after this time
+    origins: tuple[str, ...] = ()  # Origin headers of web pages that may connect; programs send none
 
     @classmethod
     def parse(cls, table: dict[str, Json]) -> ControlSettings:
-        """The settings of a table; ValueError with what is wrong."""
+        """Parses the table of the file. Raises ValueError if a key or value is invalid."""
         unknown = sorted(set(table) - set(cls.__dataclass_fields__))
         if unknown:
             raise ValueError(f"control: unknown key {unknown[0]!r}")
@@ -173,14 +175,14 @@
             key: tuple(value) if isinstance(value, list) else value for key, value in table.items()
         }
         settings = cls(**given)
-        counts = settings.most_sockets >= 1 and settings.most_open >= 1
-        if not isinstance(settings.listen, str) or not counts or settings.keep_s < 0:
-            raise ValueError("control: listen is a text, most_sockets and most_open >= 1, keep_s >= 0")
+        has_valid_maxima = settings.most_sockets >= 1 and settings.most_open >= 1
+        if not isinstance(settings.listen, str) or not has_valid_maxima or settings.keep_s < 0:
+            raise ValueError("control: listen must be a string, most_sockets and most_open >= 1, keep_s >= 0")
         return settings
 
 
 def load_control_settings() -> ControlSettings:
-    """The call-control settings; off where there is no file."""
+    """Reads the call-control settings. The API is off if the default file does not exist."""
     path = Path(environment.variable(environment.CALL_CONTROL_FILE, str(CONTROL_FILE)))
     if not path.exists() and path == CONTROL_FILE:
         return ControlSettings()
@@ -191,9 +193,9 @@
 
 
 def load_operator_file() -> Any:
-    """The operator file's tables (`operator.tables`), where the environment names one; else None.
+    """Reads the tables (`operator.tables`) of the operator file that the environment names.
 
-    None of its packages is loaded without.
+    Returns None, and loads none of the operator packages, if no file is named.
     """
     path = environment.variable(environment.OPERATOR_FILE)
     if not path:
--- a/softswitch/environment.py
+++ b/softswitch/environment.py
@@ -1,7 +1,8 @@
-"""The program's own environment variables, `SOFTSWITCH_*`, and the names that they had before.
+"""Environment variables of the program, `SOFTSWITCH_*`, and their deprecated names.
 
-A variable is looked up by its short name: `variable("LOG")` reads `SOFTSWITCH_LOG`, and where that is not set
-the deprecated `WILLOWHITCH_LOG`. `deprecated_in_use` lists the old names that were read, for one log line.
+A variable is looked up by its short name: `variable("LOG")` reads `SOFTSWITCH_LOG` or, if that is not set,
+the deprecated `WILLOWHITCH_LOG`. `deprecated_in_use` lists the deprecated names that were read, for a log
+line.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 
 
 def names(short_name: str) -> list[str]:
-    """The environment variables that may hold the value, the current name first."""
+    """The environment variables that may contain the value, the current name first."""
     return [PREFIX + short_name, DEPRECATED_PREFIX + short_name]
 
 
 def variable(short_name: str, default: str = "") -> str:
     """The value of `SOFTSWITCH_<short_name>`, else of its deprecated name, else `default`.
 
-    A current name that is set wins even if it is empty.
+    The current name takes precedence if it is set, even to an empty value.
     """
     current, deprecated = names(short_name)
     if current in os.environ:
@@ -40,11 +41,11 @@
 
 
 def deprecated_in_use() -> list[str]:
-    """The deprecated names that gave a value so far, sorted."""
+    """The deprecated names from which values were read so far, sorted."""
     return sorted(_deprecated_in_use)
 
 
 def without(environment: dict[str, str], short_name: str) -> dict[str, str]:
-    """A copy of an environment that lacks a variable under both of its names."""
-    dropped = names(short_name)
-    return {name: value for name, value in environment.items() if name not in dropped}
+    """A copy of an environment without a variable, under both of its names."""
+    excluded = names(short_name)
+    return {name: value for name, value in environment.items() if name not in excluded}
--- a/softswitch/lazy_import.py
+++ b/softswitch/lazy_import.py
@@ -1,6 +1,6 @@
-"""Import trimming: keeps what is imported but never used out of the start.
+"""Lazy imports: modules that are imported but never used are not loaded at startup.
 
-Many softswitches may start on one machine, and each has little memory.
+Many softswitch processes may run on one machine, each with little memory.
 """
 
 from __future__ import annotations
@@ -8,12 +8,12 @@
 import sys
 from importlib.util import LazyLoader, find_spec, module_from_spec
 
-# Twisted binds it for its HTTP client, which the softswitch has no use for; it brings urllib, email and more.
+# Twisted imports it for its HTTP client, which the softswitch does not use. It loads urllib, email and more.
 UNUSED = ("http.cookiejar",)
 
 
 def load_lazily(*names: str) -> None:
-    """From now on these modules are loaded at the first use of what is in them, not as they are imported."""
+    """Makes these modules load at the first access to an attribute instead of at their import."""
     for name in names:
         if name in sys.modules:
             continue
--- a/softswitch/signals.py
+++ b/softswitch/signals.py
@@ -1,7 +1,7 @@
-"""Signals from the first instant on.
+"""Signal handling from the start of the process.
 
-What is asked while the program starts is kept until there is somebody to carry it out: SIGHUP would end a
-process that has no handler yet, and one left out would be lost.
+Signals received during startup are recorded, and handled once the softswitch runs. Otherwise SIGHUP would
+terminate a process that has no handler yet, and an ignored signal would be lost.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 RELOAD_SIGNAL = signal.SIGHUP
 
-_pending: list[int] = []  # what came while starting, each once
+_pending: list[int] = []  # signals received during startup, each once
 
 
-def _keep(number: int, _frame: FrameType | None) -> None:
+def _record(number: int, _frame: FrameType | None) -> None:
     if number not in _pending:
         _pending.append(number)
 
 
-def keep() -> None:
-    """Keeps signals from now on; called before anything is imported that takes time."""
+def start_recording() -> None:
+    """Starts recording signals; called before any import that takes time."""
     for number in (*STOP_SIGNALS, RELOAD_SIGNAL):
-        signal.signal(number, _keep)
+        signal.signal(number, _record)
 
 
 def stop_requested() -> bool:
-    """Whether a stop was asked for since `keep`."""
+    """Whether a stop signal was recorded since `start_recording`."""
     return any(number in _pending for number in STOP_SIGNALS)
 
 
-def _running(action: Callable[[], object]) -> Callable[[int, FrameType | None], None]:
+def _handler_for(action: Callable[[], object]) -> Callable[[int, FrameType | None], None]:
     def handler(_number: int, _frame: FrameType | None) -> None:
         action()
 
@@ -40,9 +40,9 @@
 
 
 def handle(actions: Mapping[int, Callable[[], object]]) -> None:
-    """From now on each of these signals runs its action. What was kept is carried out, a stop last."""
+    """Installs a handler for each signal, and runs the actions of the recorded signals, stop signals last."""
     for number, action in actions.items():
-        signal.signal(number, _running(action))
+        signal.signal(number, _handler_for(action))
     for number in sorted(_pending, key=lambda number: number in STOP_SIGNALS):
         actions[number]()
     _pending.clear()
--- a/softswitch/telemetry.py
+++ b/softswitch/telemetry.py
@@ -1,7 +1,7 @@
-"""Counters and durations over OTLP/HTTP, by the `opentelemetry` packages. Off unless configured.
+"""Exports counters and durations over OTLP/HTTP with the `opentelemetry` packages. Off unless configured.
 
-The exporter's own thread sends; the loop only counts. Nothing waits for a collector, and while it is down
-nothing piles up: the figures are sums, and an export that fails is left out.
+The exporter sends in its own thread; the reactor's thread only counts. It never waits for the collector.
+While the collector is down, no data is buffered: the values are cumulative, and a failed export is skipped.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from softswitch.core.switch import Switch
 
 ENDPOINT = "OTEL_EXPORTER_OTLP_ENDPOINT"
-EVERY = "OTEL_METRIC_EXPORT_INTERVAL"  # ms; the packages read it too
-TIMEOUT = 2.0  # s that one export may take
-BOUNDS = [5, 10, 25, 50, 100, 250, 500, 1000, 2000, 5000, 10000, 30000, 60000]  # ms
+EXPORT_INTERVAL = "OTEL_METRIC_EXPORT_INTERVAL"  # ms; the packages read it too
+TIMEOUT = 2.0  # s for one export
+BUCKETS = [5, 10, 25, 50, 100, 250, 500, 1000, 2000, 5000, 10000, 30000, 60000]  # boundaries in ms
 
 
 class Telemetry:
-    """What the switch counts, as OTLP metrics of one collector."""
+    """Exports the counters and durations of the switch to one collector, as OTLP metrics."""
 
-    def __init__(self, endpoint: str, name: str, switch: Switch, every_ms: float) -> None:
-        # Imported here: a softswitch without telemetry doesn't pay for the packages' memory.
+    def __init__(self, endpoint: str, name: str, switch: Switch, interval_ms: float) -> None:
+        # Imported here, so that a softswitch without telemetry doesn't need the memory of the packages.
         from opentelemetry.exporter.otlp.proto.http.metric_exporter import OTLPMetricExporter
         from opentelemetry.metrics import Observation
         from opentelemetry.sdk.metrics import MeterProvider
@@ -34,64 +34,64 @@
         from opentelemetry.sdk.resources import Resource
 
         for noisy in ("opentelemetry", "urllib3", "requests"):
-            logging.getLogger(noisy).addHandler(OneLine())
+            logging.getLogger(noisy).addHandler(RateLimitedHandler())
             logging.getLogger(noisy).propagate = False
         exporter = OTLPMetricExporter(endpoint=endpoint.rstrip("/") + "/v1/metrics", timeout=TIMEOUT)
-        reader = PeriodicExportingMetricReader(exporter, every_ms, export_timeout_millis=1000 * TIMEOUT)
+        reader = PeriodicExportingMetricReader(exporter, interval_ms, export_timeout_millis=1000 * TIMEOUT)
         resource = Resource.create({"service.name": "willowhitch", "service.instance.id": name})
         self.provider = MeterProvider([reader], resource, shutdown_on_exit=False)
         meter = self.provider.get_meter("willowhitch")
 
         def counters(_: Any) -> Iterable[Observation]:
-            # `dict` copies in one step: the loop's thread may add a counter meanwhile
+            # `dict` copies atomically, while the reactor's thread may add a counter.
             return [Observation(n, {"what": str(what)}) for what, n in dict(switch.counters).items()]
 
-        def now(_: Any) -> Iterable[Observation]:
+        def current_calls(_: Any) -> Iterable[Observation]:
             return [
                 Observation(switch.calls.unanswered, {"state": "setting up"}),
                 Observation(len(switch.calls) - switch.calls.unanswered, {"state": "standing"}),
             ]
 
         meter.create_observable_counter("willowhitch.events", [counters], description="what was counted")
-        meter.create_observable_gauge("willowhitch.calls", [now], description="calls known now")
-        self.times = {
+        meter.create_observable_gauge("willowhitch.calls", [current_calls], description="calls known now")
+        self.histograms = {
             what: meter.create_histogram(
-                f"willowhitch.{what.value}.duration", "ms", explicit_bucket_boundaries_advisory=BOUNDS
+                f"willowhitch.{what.value}.duration", "ms", explicit_bucket_boundaries_advisory=BUCKETS
             )
             for what in Duration
         }
-        switch.on_duration = self.measured
+        switch.on_duration = self.record_duration
 
-    def measured(self, what: Duration, ms: float) -> None:
-        """Records one duration, in ms."""
-        self.times[what].record(ms)
+    def record_duration(self, what: Duration, ms: float) -> None:
+        """Records a duration, in ms."""
+        self.histograms[what].record(ms)
 
     def stop(self) -> None:
-        """The last figures go out, if the collector takes them in time."""
+        """Exports the last values, and gives up after TIMEOUT."""
         try:
             self.provider.shutdown(timeout_millis=1000 * TIMEOUT)
         except Exception as e:
             logger.warning("telemetry: {}", e)
 
 
-class OneLine(logging.Handler):
-    """The packages' own complaints, one line each and one a minute: a collector may be down for long."""
+class RateLimitedHandler(logging.Handler):
+    """Logs warnings of the packages in one line, at most one a minute: a collector may be down for long."""
 
-    last = -60.0
+    last_warning_at = -60.0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Passes on a warning of the OpenTelemetry library, one in 60 s at the most."""
-        if record.levelno >= logging.WARNING and record.created - OneLine.last >= 60.0:
-            OneLine.last = record.created
+        """Logs a warning, at most one in 60 s."""
+        if record.levelno >= logging.WARNING and record.created - RateLimitedHandler.last_warning_at >= 60.0:
+            RateLimitedHandler.last_warning_at = record.created
             logger.warning("telemetry: {}", record.getMessage().splitlines()[0][:200])
 
 
 def start(name: str, switch: Switch) -> Telemetry | None:
-    """Starts the export if the environment names a collector. ValueError if what it names is not usable."""
+    """Starts the export if the environment names a collector; raises ValueError for invalid settings."""
     endpoint = os.environ.get(ENDPOINT, "")
     if not endpoint:
         return None
-    every = float(os.environ.get(EVERY) or 10_000.0)
-    if not endpoint.startswith(("http://", "https://")) or not every >= 100:
-        raise ValueError(f"{ENDPOINT} is an http address, and {EVERY} 100 or more")
-    return Telemetry(endpoint, name, switch, every)
+    interval_ms = float(os.environ.get(EXPORT_INTERVAL) or 10_000.0)
+    if not endpoint.startswith(("http://", "https://")) or not interval_ms >= 100:
+        raise ValueError(f"{ENDPOINT} must be an http or https URL, and {EXPORT_INTERVAL} at least 100")
+    return Telemetry(endpoint, name, switch, interval_ms)
