--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -72,7 +72,7 @@
     """One caller's connection."""
 
     def __init__(self, stage, sock):
-        self.sock, self.data, self.got = sock, b"", []
+        self.sock, self.data, self.received = sock, b"", []
 
     def feed(self, data):
         for head, body in framed(self, data):
@@ -103,7 +103,7 @@
     """One WebSocket client."""
 
     def __init__(self, stage, sock, path="/v1/calls", origin=None):
-        self.sock, self.got, self.ws, self.text = sock, [], WSConnection(ConnectionType.CLIENT), ""
+        self.sock, self.received, self.ws, self.text = sock, [], WSConnection(ConnectionType.CLIENT), ""
         headers = [(b"Origin", origin.encode())] if origin else []
         sock.sendall(self.ws.send(Request(host="x", target=path, extra_headers=headers)))
 
@@ -137,7 +137,7 @@
     """One connection to the management address: `GET /v1/readyz`, or `raw TEXT`. Heard as `200 {..}`."""
 
     def __init__(self, stage, sock):
-        self.sock, self.got, self.data = sock, [], b""
+        self.sock, self.received, self.data = sock, [], b""
 
     def feed(self, data):
         for head, body in framed(self, data):
@@ -156,7 +156,7 @@
     """The connection that a softswitch opened to a quote engine."""
 
     def __init__(self, stage, sock):
-        self.sock, self.data, self.got, self.numbers = sock, b"", [], {}
+        self.sock, self.data, self.received, self.numbers = sock, b"", [], {}
         self.acknowledged = []  # releases of this engine, by the ids of their calls
         self.send("STATE 0 21=x0:1000;x1:1000")
 
@@ -187,7 +187,7 @@
     """The softswitch's connection to the notice board."""
 
     def __init__(self, stage, sock):
-        self.stage, self.sock, self.got, self.data, self.due = stage, sock, [], b"", 0.0
+        self.stage, self.sock, self.received, self.data, self.due = stage, sock, [], b"", 0.0
 
     def beat(self):
         """An empty frame each second, as a board sends it."""
@@ -327,7 +327,7 @@
             if sock in doors:
                 name = doors[sock]
                 self.parties[name] = (Board if name[0] == "b" else Engine)(self, sock.accept()[0])
-                self.parties[name].got = ended.get(name, [])
+                self.parties[name].received = ended.get(name, [])
                 continue
             name, party = open_[sock]
             try:
@@ -336,23 +336,23 @@
                 data = b""
             if not data:
                 sock.close()
-                party.got.append("end")
-                ended[name] = party.got
+                party.received.append("end")
+                ended[name] = party.received
                 continue
             for message in party.feed(data):
                 if self.hook:
                     self.hook(name, message)
                 else:
-                    party.got.append(message)
+                    party.received.append(message)
 
     def next(self, name, seconds=PATIENCE):
         until = time.monotonic() + seconds
-        while not (self.party(name) and self.party(name).got):
+        while not (self.party(name) and self.party(name).received):
             left = until - time.monotonic()
             if left <= 0:
                 return None
             self.pump(min(left, 0.5))
-        return self.party(name).got.pop(0)
+        return self.party(name).received.pop(0)
 
     def play(self, scenario):
         for line in filter(None, map(str.strip, scenario.splitlines())):
--- a/tests/test_call_endings.py
+++ b/tests/test_call_endings.py
@@ -310,7 +310,7 @@
     """Within 1.2 s no set-up of these calls came to the engine; another caller's does, so it is there."""
     stage.play(f"{engine} wait 1200")
     party = stage.party(engine)
-    came = [m for m in (party.got if party else []) if m.startswith("SET_UP")]
+    came = [m for m in (party.received if party else []) if m.startswith("SET_UP")]
     late = [m for m in came if m.split()[1] in map(call_id, calls)]
     assert not late, f"{len(late)} of {len(calls)} were sent on"
 
@@ -652,7 +652,7 @@
         )
         s.play("e2 expect SET_UP {1}\ne2 send ANSWER 1 33=d\nc0 expect 200 OK")
         for name in ("e0", "e1"):
-            assert not any(m.startswith("SET_UP") for m in s.party(name).got)
+            assert not any(m.startswith("SET_UP") for m in s.party(name).received)
 
 
 # the notice board
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -263,7 +263,10 @@
             c0 wait 800
             """)
         assert any(
-            "SET_UP " + "0" * 15 + "1" in m for e in ("e0", "e1") if e in s.parties for m in s.parties[e].got
+            "SET_UP " + "0" * 15 + "1" in m
+            for e in ("e0", "e1")
+            if e in s.parties
+            for m in s.parties[e].received
         )
 
 
