--- a/softswitch/net/call_history.py
+++ b/softswitch/net/call_history.py
@@ -9,7 +9,7 @@
 import orjson
 from loguru import logger
 
-from softswitch.components import ComponentCall, Host
+from softswitch.components import Host, ManagementRoute
 from softswitch.core.call import CALL_ID
 from softswitch.core.call_history import CONNECTIONS, CallHistory
 
@@ -28,14 +28,14 @@
         self.history = host.switch.history = CallHistory(
             lambda: wheel.now + wheel.elapsed_since_read(), table.keep
         )
-        host.calls["/v1/calls/"] = ComponentCall("GET", self.handle_request)
+        host.management_routes["/v1/calls/"] = ManagementRoute("GET", self.handle_request)
 
     def handle_request(self, rest: str) -> tuple[int, dict[str, Any]]:
         """Answers `GET /v1/calls/ID`; `rest` is the ID. Returns status and body."""
         call = CONNECTIONS if rest == "links" else rest.lower()
         if call and not CALL_ID.match(call):
             return 400, {"error": "16 hex digits of a call are wanted, or `links`"}
-        report = self.history.report(call, -self.host.offset)
+        report = self.history.report(call, -self.host.unix_offset)
         not_found = {"error": f"not known, or no more: {self.table.keep} calls are kept"}
         return (200, report) if report else (404, not_found)
 
@@ -53,7 +53,9 @@
             self.host.reactor.callInThread(self._write, lines)
 
     def _encode_changed(self, limit: int) -> list[bytes]:
-        reports = (self.history.report(call, -self.host.offset) for call in self.history.pop_changed(limit))
+        reports = (
+            self.history.report(call, -self.host.unix_offset) for call in self.history.pop_changed(limit)
+        )
         return [orjson.dumps(report) for report in reports if report]
 
     def _write(self, lines: list[bytes]) -> None:
--- a/softswitch/net/management.py
+++ b/softswitch/net/management.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import Factory, Protocol
 from zope.interface import implementer
 
-from softswitch.components import Answer, Component, ComponentCall
+from softswitch.components import Component, ManagementResponse, ManagementRoute
 from softswitch.core.counters import Count, CountFamily
 from softswitch.core.lifecycle import Phase
 from softswitch.core.switch import Switch
@@ -135,7 +135,7 @@
     """The method and the handler of one path."""
 
     method: str
-    run: Callable[[], Answer]
+    run: Callable[[], ManagementResponse]
 
 
 class ManagementServer(Factory):
@@ -153,7 +153,7 @@
             "/v1/softswitch/activate": Route("POST", self._activate),
         }
         # Routes of components, by path or by a path prefix that ends with `/`.
-        self.component_calls: dict[str, ComponentCall] = {}
+        self.component_calls: dict[str, ManagementRoute] = {}
         self.components: dict[str, Component] = {}  # their figures are part of the metrics
         self._sweep_scheduled = False  # only while there are connections
 
@@ -176,7 +176,7 @@
         self.connections.pop(victim)
         victim.transport.abortConnection()
 
-    def handle_request(self, method: str, target: str) -> Answer:
+    def handle_request(self, method: str, target: str) -> ManagementResponse:
         """Returns the status and the content of the response to a request."""
         path = target.partition("?")[0]
         route = self.routes.get(path)
@@ -186,30 +186,30 @@
             if path == prefix or (prefix.endswith("/") and path.startswith(prefix)):
                 if method != call.method:
                     return _wrong_method(path, call.method)
-                return call.answer(path[len(prefix) :])
+                return call.handler(path[len(prefix) :])
         known_paths = ", ".join((*self.routes, *self.component_calls))
         return 404, {"error": f"no such call; there are {known_paths}"}
 
-    def _ready(self) -> Answer:
+    def _ready(self) -> ManagementResponse:
         lifecycle = self.switch.lifecycle
         status = 200 if lifecycle.ready else 503
         return status, {"ready": lifecycle.ready, "phase": lifecycle.phase.value}
 
-    def _figures(self) -> Answer:
+    def _figures(self) -> ManagementResponse:
         report = self.switch.report_figures()
         for name, component in self.components.items():
             if figures := component.figures():
                 report[name] = figures
         return 200, report
 
-    def _drain(self) -> Answer:
+    def _drain(self) -> ManagementResponse:
         lifecycle = self.switch.lifecycle
         if lifecycle.phase is not Phase.DRAINED:
             logger.info("asked to drain: callers' connections close as they fall idle")
         lifecycle.drain(self.switch.wheel.now)
         return 200, {"phase": lifecycle.phase.value}
 
-    def _activate(self) -> Answer:
+    def _activate(self) -> ManagementResponse:
         lifecycle = self.switch.lifecycle
         if lifecycle.phase is Phase.DRAINED:
             logger.info("activated: takes callers again")
@@ -229,5 +229,5 @@
                 connection.transport.abortConnection()
 
 
-def _wrong_method(path: str, allowed: str) -> Answer:
+def _wrong_method(path: str, allowed: str) -> ManagementResponse:
     return 405, {"error": f"{path} wants {allowed}", "allow": allowed}
--- a/softswitch/net/peers.py
+++ b/softswitch/net/peers.py
@@ -18,7 +18,7 @@
 from twisted.internet.protocol import ClientFactory, DatagramProtocol, Factory
 from twisted.protocols.basic import Int32StringReceiver
 
-from softswitch.components import ComponentCall, Host, settings_digest
+from softswitch.components import Host, ManagementRoute, settings_digest
 from softswitch.core.lifecycle import Phase
 from softswitch.fleet.member import Exchange, Member, MemberChanged, Notice, Periods, Send
 from softswitch.fleet.messages import (
@@ -196,7 +196,7 @@
         deadline = max((c.deadline for c in host.settings.classes), default=0.0) or DEFAULT_CALL_DEADLINE
         self.fleet_size = FleetSize(host.settings.fleet_size, deadline + LINGER_MARGIN)
         self.applied_size = host.settings.fleet_size
-        host.calls["/v1/fleet"] = ComponentCall("GET", self._report_view)
+        host.management_routes["/v1/fleet"] = ManagementRoute("GET", self._report_view)
 
     # snapshot
 
--- a/softswitch/process/listeners.py
+++ b/softswitch/process/listeners.py
@@ -51,7 +51,7 @@
     def open(self, address: Address) -> None:
         """Listens at once, or as soon as the predecessor has handed over its listeners."""
         self.address = address
-        predecessors = self.handover.predecessors(address.pair) if self.handover else []
+        predecessors = self.handover.predecessor_sockets(address.pair) if self.handover else []
         if not predecessors:
             self._mark_endpoints_known()
             self._serve({})
@@ -66,7 +66,7 @@
 
     def _request_handover(self, predecessors: list[Path]) -> None:
         assert self.handover is not None
-        self.handover.seek(predecessors, self._handover_finished)
+        self.handover.request_listeners(predecessors, self._handover_finished)
 
     def _handover_finished(self, received: Descriptors | None) -> None:
         """Takes over the listeners, or opens new ones if no predecessor has handed any over."""
@@ -84,7 +84,7 @@
         """Retries the handover until HANDOVER_RETRY_FOR: a busy predecessor may not have answered."""
         assert self.handover is not None
         if self.switch.wheel.read_clock() - self._started_at < HANDOVER_RETRY_FOR:
-            predecessors = self.handover.predecessors(self.address.pair)
+            predecessors = self.handover.predecessor_sockets(self.address.pair)
             self.reactor.callLater(HANDOVER_RETRY_EVERY, self._request_handover, predecessors)
         else:
             self.on_failure(f"cannot listen for callers: {error}")
@@ -98,7 +98,7 @@
             os.close(descriptor)
         self.switch.lifecycle.listener_opened(self.switch.wheel.now)
         if self.handover:
-            self.handover.offer(self.address.pair)
+            self.handover.listen_for_successor(self.address.pair)
         logger.info("softswitch {} serves at {}:{}", self.sip.name, *self.address.pair)
 
     def _listen(self, name: str, address: Address, factory: Any, received: Descriptors) -> Any:
--- a/softswitch/process/reload.py
+++ b/softswitch/process/reload.py
@@ -59,15 +59,15 @@
             raise ConfigurationError(f"{type(e).__name__}: {e}") from None
 
     def _apply(self, configuration: Configuration, known: KnownEvents, tables: Any) -> None:
-        deferred = configuration.differing(self.active_configuration, FIXED_KEYS)
+        deferred = configuration.changed_keys(self.active_configuration, FIXED_KEYS)
         if configuration.settings.tick != self.tick:
             deferred.append("settings.tick")
         settings = replace(configuration.settings, tick=self.tick)
         self.engines.settings = settings
         self.switch.apply_settings(settings)
         deferred += self.reload_components(tables, settings)
-        self.active_configuration = configuration.keeping(self.active_configuration, FIXED_KEYS)
-        self.watch.take_known(known)
+        self.active_configuration = configuration.with_values_of(self.active_configuration, FIXED_KEYS)
+        self.watch.apply_known_events(known)
         self.watch.move(configuration.board.pair)
         classes = ", ".join(c.name for c in settings.classes)[:MAX_SHOWN_CLASSES]
         board = configuration.board
--- a/tests/test_call_endings.py
+++ b/tests/test_call_endings.py
@@ -10,7 +10,7 @@
 import time
 
 import pytest
-from support.harness import INFO, ROOT, Sip, Stage, call_id, written
+from support.harness import INFO, ROOT, Sip, Stage, call_id, format_address
 
 from softswitch.standin.addresses import own_host
 
@@ -134,7 +134,7 @@
             "c0 expect 200 OK.*INVITE\ne0 send RELEASE 2 31=34\nc1 expect SIP/2.0 503"
         )
         s.play("e0 send RELEASE 1 31=16\nc0 expect BYE.*{1}\np expect 0")
-        assert s.said().count("asked to stop") == 1
+        assert s.log_text().count("asked to stop") == 1
 
 
 def test_incomplete_and_unread_setups_at_sigterm_are_served():
@@ -155,13 +155,13 @@
             s.program.send_signal(signal.SIGTERM)
             s.parties["c2"].sock.sendall(invite(2, patience=3000))
             s.party("c3").sock.sendall(invite(3, patience=3000))  # its connection is not accepted yet
-        while "asked to stop" not in s.said():
+        while "asked to stop" not in s.log_text():
             s.pump(0.01)
         s.parties["c1"].sock.sendall(request[60:])
         until = time.monotonic() + 3.0
         while len(established) < 3 and time.monotonic() < until:
             s.pump(0.05)
-        assert established == {"c1", "c2", "c3"}, s.said()
+        assert established == {"c1", "c2", "c3"}, s.log_text()
         assert s.program.wait(3) == 0
 
 
@@ -189,7 +189,7 @@
 @pytest.mark.parametrize("kind", ["down", "silent", "never accepts"])
 def test_a_start_without_the_watch_server_uses_the_configured_endpoint_list(kind):
     listener, filling = unavailable_board(kind)
-    with Stage(engines=1, config={"board": written(listener.getsockname())}) as s:
+    with Stage(engines=1, config={"board": format_address(listener.getsockname())}) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK.*INVITE")
     for sock in (listener, *filling):
         sock.close()
@@ -198,9 +198,9 @@
 def test_without_an_endpoint_list_it_is_not_ready_until_the_watch_server_sends_one():
     s = Stage(engines=1, config={"known": {"rev": 0, "notices": []}})
     try:
-        listener = s.doors.pop("b")  # the watch server sends nothing yet
+        listener = s.listeners.pop("b")  # the watch server sends nothing yet
         s.play("c0 send OPTIONS\nc0 expect 503")
-        s.doors["b"] = listener
+        s.listeners["b"] = listener
         s.play("b expect after 0\nb send 1 ready e0\n")
         while "e0" not in s.parties:
             s.pump(0.05)
@@ -265,15 +265,15 @@
 def test_sighup_during_the_start_is_handled_once_the_program_serves(at):
     with start_with_signal(at, "SIGHUP") as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}")
-        assert s.said().count("configuration reloaded") == 1, s.said()
+        assert s.log_text().count("configuration reloaded") == 1, s.log_text()
 
 
 @pytest.mark.parametrize("at", ["softswitch.lazy_import", "softswitch.net.sip_server"])
 def test_sigterm_during_the_start_ends_the_program_before_it_listens(at):
     stage = start_with_signal(at, "SIGTERM")
     try:
-        assert stage.program.wait(5) == 0, stage.said()
-        assert "serves at" not in stage.said()
+        assert stage.program.wait(5) == 0, stage.log_text()
+        assert "serves at" not in stage.log_text()
     finally:
         stage.__exit__()
 
@@ -319,7 +319,7 @@
     """
     stage.play(f"{engine} wait 1200")
     party = stage.party(engine)
-    setups = [m for m in (party.got if party else []) if m.startswith("SET_UP")]
+    setups = [m for m in (party.received if party else []) if m.startswith("SET_UP")]
     late = [m for m in setups if m.split()[1] in map(call_id, calls)]
     assert not late, f"{len(late)} of {len(calls)} were sent"
 
@@ -367,7 +367,7 @@
 def test_abandoned_while_waiting_for_a_connection_that_opens_late(abandon):
     with Stage(engines=1, settings=LONG_CONNECT_TIMEOUT) as s:
         s.play("e0 wait 50")
-        listener = s.doors.pop("e0")
+        listener = s.listeners.pop("e0")
         filling = fill(listener)
         s.parties.pop("e0").sock.close()  # the program opens a new one, which does not come up
         s.play(f"c0 wait 100\nc0 send INVITE 1 X-Patience={PATIENCE}\nc0 send OPTIONS\nc0 expect 200")
@@ -376,7 +376,7 @@
             listener.accept()[0].close()
             sock.close()
         listener.listen(64)
-        s.doors["e0"] = listener  # now it accepts; the kernel retries within a second or two
+        s.listeners["e0"] = listener  # now it accepts; the kernel retries within a second or two
         s.play("c8 send INVITE 2\ne0 expect SET_UP {2}")
         assert_no_setup(s, "e0", [1])
 
@@ -390,7 +390,7 @@
     """
     with Stage(engines=1, settings=LONG_CONNECT_TIMEOUT) as s:
         s.play("e0 wait 50")
-        listener = s.doors.pop("e0")
+        listener = s.listeners.pop("e0")
         filling = fill(listener)
         s.parties.pop("e0").sock.close()
         s.play("c0 wait 100\nc0 send INVITE 1 X-Patience=700\nc0 expect SIP/2.0 503.*{1}.*X-Later-Ms")
@@ -435,7 +435,7 @@
             s.play("e0 send ANSWER 1 33=d\ne0 send ANSWER 2 33=e")
             reset(s, 1)
         s.play("c1 expect 200 OK.*{2}.*e$\ne0 send RELEASE 1 31=16\ne0 send RELEASE 2 31=16\nc1 expect BYE")
-        assert "fault" not in s.said()
+        assert "fault" not in s.log_text()
 
 
 def test_a_caller_that_reads_no_answers_is_disconnected_and_delays_no_other():
@@ -454,7 +454,7 @@
 
         s.hook = answer
         until = time.monotonic() + 10.0
-        while "answers unread for" not in s.said():
+        while "answers unread for" not in s.log_text():
             assert time.monotonic() < until
             s.pump(0.01)
             try:
@@ -466,7 +466,7 @@
         s.play(
             "c1 send INVITE 900\ne0 expect SET_UP {900}\ne0 send ANSWER 900 33=d\nc1 expect 200 OK.*INVITE"
         )
-        assert s.said().count("answers unread for") == 1
+        assert s.log_text().count("answers unread for") == 1
         c.close()
 
 
@@ -513,7 +513,7 @@
 def test_setups_for_an_engine_that_refuses_connections_are_rejected_without_delay():
     with Stage(engines=1, settings={"limits": INFO["limits"] | {"send_cap": 6}}) as s:
         s.play("c0 send OPTIONS\nc0 expect 200\ne0 wait 20")
-        s.doors.pop("e0").close()
+        s.listeners.pop("e0").close()
         s.parties.pop("e0").sock.close()
         s.play("c0 wait 30\nc0 send INVITE 1\nc0 send INVITE 2")
         started_at = time.monotonic()
@@ -525,7 +525,7 @@
 def test_releases_beyond_the_queue_limit_of_an_unreachable_engine_are_counted():
     with Stage(engines=1, settings=LONG_CONNECT_TIMEOUT) as s:
         s.play("e0 wait 50")
-        listener = s.doors.pop("e0")
+        listener = s.listeners.pop("e0")
         filling = fill(listener)
         s.parties.pop("e0").sock.close()  # the program opens a new one, which does not come up
         s.play("c0 wait 100")
@@ -538,8 +538,8 @@
         while "OPTIONS" not in (s.next("c0") or "OPTIONS"):
             pass
         s.play("p send SIGUSR1\nc0 wait 100")
-        assert '"releases to engines dropped":10,' in s.said(), s.said()[-500:]
-        assert '"heir releases":4096' in s.said()
+        assert '"releases to engines dropped":10,' in s.log_text(), s.log_text()[-500:]
+        assert '"heir releases":4096' in s.log_text()
         for sock in (listener, *filling):
             sock.close()
 
@@ -623,7 +623,7 @@
 
 def board_record(stage, ident, door, state, cell):
     """Returns an entry of the endpoint list for an engine id at an address of the stage, in hex."""
-    port = stage.doors[door].getsockname()[1]
+    port = stage.listeners[door].getsockname()[1]
     return struct.pack(
         ">I4sHBBBHIQ", ident, socket.inet_aton(stage.host), port, state, 0, 0, cell, 1000, 0
     ).hex()
@@ -664,7 +664,7 @@
         )
         s.play("e2 expect SET_UP {1}\ne2 send ANSWER 1 33=d\nc0 expect 200 OK")
         for name in ("e0", "e1"):
-            assert not any(m.startswith("SET_UP") for m in s.party(name).got)
+            assert not any(m.startswith("SET_UP") for m in s.party(name).received)
 
 
 # the endpoint watch
@@ -684,7 +684,7 @@
             "b send 5 gone e1\ne0 expect end\ne1 expect end\n"
             "c0 send INVITE 1\ne0 expect nothing 150\ne1 expect nothing 150"
         )
-        assert "events after 3 are missing before" in s.said()
+        assert "events after 3 are missing before" in s.log_text()
         # the next ones are missing at every request: they are requested once, then taken as nonexistent
         s.play("b send 9 ready e0\nb expect end\nb expect after 5\nb send 9 ready e0\ne0 expect SET_UP {1}")
 
@@ -715,7 +715,7 @@
             f"b expect after 3\nb send raw - {frame}\nb expect end\nb expect after 3\nb send 4 gone e0\n"
             "e0 expect end\nc0 send INVITE 1\ne1 expect SET_UP {1}"
         )
-        assert s.said().count("connection closed") == 1
+        assert s.log_text().count("connection closed") == 1
 
 
 def test_a_new_watch_connection_that_is_silent_is_closed_too():
@@ -727,5 +727,5 @@
             silent.append(s.parties["b"])
             s.play("b expect end\nb expect after 3")
         s.play("b send 4 gone e0\ne0 expect end")
-        assert s.said().count("silent for") == 2
+        assert s.log_text().count("silent for") == 2
         assert len(silent) == 2
--- a/tests/test_log_rate_limit.py
+++ b/tests/test_log_rate_limit.py
@@ -16,4 +16,4 @@
     assert logged(2, 1) == ["caller 0"]  # another place has its own limit
     now[0] = INTERVAL
     assert logged(1, 2) == ["caller 0 (990 more like it were left out)", "caller 1"]
-    assert len(rate_limit._places) == 2
+    assert len(rate_limit._statements) == 2
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from support.harness import Stage, call_id, written
+from support.harness import Stage, call_id, format_address
 from support.settings import INFO
 
 NO_CANCEL = {
@@ -98,20 +98,20 @@
     for at, env in (("here", None), ("", "127.0.0.1:99999"), ("203.0.113.1:80", None)):
         stage = Stage(config={"mgmt": at}, env={"BALANCER_MGMT": env} if env else None)
         assert stage.program.wait(10) == 2
-        assert stage.said().count("\n") == 1 and "mgmt" in stage.said(), stage.said()
+        assert stage.log_text().count("\n") == 1 and "mgmt" in stage.log_text(), stage.log_text()
         stage.__exit__()
 
 
 def test_an_unknown_handover_method_is_reported_in_one_line():
     stage = Stage(env={"SOFTSWITCH_HANDOVER": "reuse"})
     assert stage.program.wait(10) == 2
-    assert stage.said().count("\n") == 1 and "SOFTSWITCH_HANDOVER" in stage.said(), stage.said()
+    assert stage.log_text().count("\n") == 1 and "SOFTSWITCH_HANDOVER" in stage.log_text(), stage.log_text()
     stage.__exit__()
 
 
 def test_without_a_management_address_nothing_listens():
     with Stage(config={"mgmt": ""}) as s:
-        assert "management" not in s.said()
+        assert "management" not in s.log_text()
 
 
 def test_metrics_count_each_call_once_however_it_ends():
@@ -217,12 +217,12 @@
     Returns how many configurations were accepted and rejected.
     """
     before = figures(stage)
-    stage.play("p config " + json.dumps(stage.made | {"settings": settings}))
+    stage.play("p config " + json.dumps(stage.config_document | {"settings": settings}))
     until = time.monotonic() + 3
     while (now := figures(stage))["cfg_accepted"] + now["cfg_invalid"] == before["cfg_accepted"] + before[
         "cfg_invalid"
     ]:
-        assert time.monotonic() < until, stage.said()
+        assert time.monotonic() < until, stage.log_text()
     return now["cfg_accepted"] - before["cfg_accepted"], now["cfg_invalid"] - before["cfg_invalid"]
 
 
@@ -271,7 +271,10 @@
             c0 wait 800
             """)
         assert any(
-            "SET_UP " + "0" * 15 + "1" in m for e in ("e0", "e1") if e in s.parties for m in s.parties[e].got
+            "SET_UP " + "0" * 15 + "1" in m
+            for e in ("e0", "e1")
+            if e in s.parties
+            for m in s.parties[e].received
         )
 
 
@@ -298,25 +301,25 @@
         with Stage(engines=1) as s:
             for line, change in half:
                 assert reload_settings(s, INFO | {"lanes": lanes} | change) == (0, 1), line
-                assert line in s.said(), (line, s.said())
+                assert line in s.log_text(), (line, s.log_text())
 
 
 def test_a_truncated_or_incomplete_file_changes_neither_watch_server_nor_settings():
     with Stage(engines=1) as s:
         s.play("b expect after 3")
-        complete = json.dumps(s.made)
+        complete = json.dumps(s.config_document)
         texts = [
             "",
             complete[: len(complete) // 2],
             "[]",
             complete.replace("9000.0", "NaN"),
             complete.replace("9000.0", "1e999"),
-            json.dumps({k: v for k, v in s.made.items() if k != "board"}),
-            json.dumps(s.made | {"settings": None, "board": "127.0.0.1:9"}),
+            json.dumps({k: v for k, v in s.config_document.items() if k != "board"}),
+            json.dumps(s.config_document | {"settings": None, "board": "127.0.0.1:9"}),
         ]
         for n, text in enumerate(texts):
             s.play(f"p config {text}\np wait 80")
-            assert figures(s)["cfg_invalid"] == n + 1, (text[:60], s.said())
+            assert figures(s)["cfg_invalid"] == n + 1, (text[:60], s.log_text())
         s.play(
             "b send 4 draining e0\nb wait 50\nc0 send INVITE 1\nc0 expect SIP/2.0 503\nb expect nothing 50"
         )
@@ -369,14 +372,14 @@
         spare.bind((self.host, 0))
         self.mgmt_old, self.mgmt = self.mgmt, spare.getsockname()
         spare.close()
-        return self.start({"BALANCER_MGMT": written(self.mgmt)})
+        return self.start({"BALANCER_MGMT": format_address(self.mgmt)})
 
     def start_after_stop(self):
         """Stops the first process and starts the one that will be replaced."""
         self.old.send_signal(signal.SIGTERM)
         until = time.monotonic() + 6
         while self.old.poll() is None:
-            assert time.monotonic() < until, self.said()
+            assert time.monotonic() < until, self.log_text()
             self.pump(0.05)
         assert self.old.returncode == 0
         self.parties.clear()
@@ -397,13 +400,13 @@
             self.play("m8 send GET /v1/readyz")
             if self.next("m8").startswith("200"):
                 return
-            assert time.monotonic() < until, self.said()
+            assert time.monotonic() < until, self.log_text()
             time.sleep(0.02)
 
     def wait_for_log(self, line):
         until = time.monotonic() + 3
-        while line not in self.said():
-            assert time.monotonic() < until, self.said()
+        while line not in self.log_text():
+            assert time.monotonic() < until, self.log_text()
             self.pump(0.02)
 
     def __exit__(self, *of):
@@ -571,7 +574,7 @@
             except OSError:
                 lost += 1
             count += 1
-            if not termed and "the next process takes the callers" in s.said():
+            if not termed and "the next process takes the callers" in s.log_text():
                 s.old.send_signal(signal.SIGTERM)
                 termed = True
         assert termed
@@ -590,7 +593,7 @@
         s.replace()
         s.wait_until_ready()
         s.wait_for_log("the next process takes the callers")
-        assert "not offered" not in s.said()
+        assert "not offered" not in s.log_text()
         s.play("e1 send RELEASE 1 31=16\nc0 expect ^BYE .*Call-ID: {1}\nc0 send OK 1")
         s.rename_new_link()
         s.old.send_signal(signal.SIGTERM)
@@ -615,7 +618,7 @@
     stage.start()
     with stage as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}")
-        assert ("not offered" in s.said()) == (case == "missing")
+        assert ("not offered" in s.log_text()) == (case == "missing")
     unix_socket.close()
 
 
@@ -659,7 +662,16 @@
     with Stage(engines=1) as s:
         s.play("b expect after 3")
         record = struct.pack(
-            ">I4sHBBBHIQ", 0, socket.inet_aton(s.host), s.doors["e0"].getsockname()[1], 0, 0, 0, 0, 1000, 0
+            ">I4sHBBBHIQ",
+            0,
+            socket.inet_aton(s.host),
+            s.listeners["e0"].getsockname()[1],
+            0,
+            0,
+            0,
+            0,
+            1000,
+            0,
         )
         frame = struct.pack(">QB", 4, 2) + record
         trickle(s.party("b"), struct.pack(">I", len(frame)) + frame)
@@ -668,8 +680,8 @@
         answer = struct.pack(">B", 9) + bytes.fromhex(f"{1:016x}") + struct.pack(">BH", 33, 200) + 200 * b"d"
         trickle(s.party("e0"), struct.pack(">H", len(answer)) + answer)  # 0.9 s in all
         s.play("c0 expect 200 .*d{200,200}$")
-        assert "cut short" not in s.said()
-        assert "bad frame" not in s.said()
+        assert "cut short" not in s.log_text()
+        assert "bad frame" not in s.log_text()
 
 
 def test_a_slow_answer_is_read_to_its_end_although_it_exceeds_the_silence_timeout():
@@ -680,4 +692,6 @@
             s.party("e0").sock.sendall(bytes((byte,)))
             time.sleep(0.012)  # 2.5 s in all; 2.1 s without a complete message used to count as silence
         s.play("c0 expect 200 .*d{200,200}$")
-        assert "connection closed" not in s.said()  # of the engine link; the watch server sends nothing here
+        assert (
+            "connection closed" not in s.log_text()
+        )  # of the engine link; the watch server sends nothing here
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -94,7 +94,7 @@
                     s.play(CALL.format(n=n))
                     max_duration = max(max_duration, time.monotonic() - began)
                 assert n > 50 and max_duration < 0.5, (n, max_duration)
-                assert s.said().count("telemetry") <= 1, s.said()  # at most one line per minute
+                assert s.log_text().count("telemetry") <= 1, s.log_text()  # at most one line per minute
                 s.play("p send SIGTERM")
                 assert s.program.wait(10) == 0
 
@@ -104,7 +104,7 @@
             assert "opentelemetry" not in maps
             assert len(os.listdir(f"/proc/{s.program.pid}/task")) == 1
         stage = Stage(env=telemetry("nowhere"))
-        assert stage.program.wait(10) == 2 and stage.said().count("\n") == 1, stage.said()
+        assert stage.program.wait(10) == 2 and stage.log_text().count("\n") == 1, stage.log_text()
         stage.__exit__()
 
 
--- a/tests/test_release_delivery.py
+++ b/tests/test_release_delivery.py
@@ -220,8 +220,8 @@
                 if n == 3 and k % 3 == 0:
                     s.play("e0 send STATE 0 21=x0:9;x1:9")  # the link itself works
             seen.add(s.parties["e0"])
-            assert len(seen) == n, s.said()
-        assert "silent" not in s.said()
+            assert len(seen) == n, s.log_text()
+        assert "silent" not in s.log_text()
         s.play("""
             e0 send RELEASE 1 31=16
             c0 expect ^BYE .*Call-ID: {1}
@@ -268,7 +268,7 @@
             if s.parties["e0"] is not link:
                 break
         listening, s.parties["e0"] = s.parties["e0"], link
-        assert listening is not link, s.said()
+        assert listening is not link, s.log_text()
         listening.sock.close()
         s.play("""
             e0 send STATE 0 21=x0:9;x1:9
@@ -276,7 +276,7 @@
             e0 send RELEASE 1 31=16
             c0 expect ^BYE .*Call-ID: {1}
             """)
-        assert "ERROR" not in s.said(), s.said()
+        assert "ERROR" not in s.log_text(), s.log_text()
 
 
 def test_a_call_that_ended_before_its_answer_fails_and_is_not_retried():
