--- a/tests/test_budget_processes.py
+++ b/tests/test_budget_processes.py
@@ -1,5 +1,5 @@
-"""Budgets of real processes: what is refused when, the command, an allocator that dies, files that can't be
-kept, and a drill that adds up what was held, spent and seen at the engines.
+"""Budgets of real processes: rejected calls, the `fleet budgets` command, a killed allocator, invalid files,
+and a reload with a replacement of a process.
 """
 
 import http.client
@@ -11,7 +11,7 @@
 
 import pytest
 from support.harness import ROOT, written
-from test_fleet_processes import Process, own, until
+from test_fleet_processes import Process, own_address, until
 
 from softswitch.operator.load import BadOperatorFile, of_text
 
@@ -21,7 +21,7 @@
 
 @contextmanager
 def budgeted(folder, budgets, count=3):
-    at = [own() for _ in range(count)]
+    at = [own_address() for _ in range(count)]
     everyone = json.dumps([written(a) for a in at])
     tables = (
         f"budgets = {json.dumps(budgets)}\n"
@@ -44,15 +44,15 @@
     return ran.returncode, json.loads(ran.stdout)
 
 
-def test_a_call_beyond_the_budget_is_refused_and_an_allocator_that_dies_is_followed(tmp_path):
+def test_a_call_beyond_the_budget_is_rejected_and_a_killed_allocator_is_replaced(tmp_path):
     quotes = {"name": "quotes", "whole": 5, "floor": 0.5, "over_s": 2, "class": "x"}
     with budgeted(tmp_path, [quotes]) as made:
 
         def logs():
             return "\n".join(p.said() for p in made)
 
-        # A floor of one slot, once it has rested: it is spent once, and what comes behind is told when to
-        # come.
+        # A floor of one slot is usable after its cooldown. It is spent once; later calls are rejected with a
+        # time to retry.
         until(lambda: budgets(made[0])[1]["budgets"]["quotes"]["sum"] >= 1, logs)
         until(lambda: budgets(*made)[1]["in_office"], logs)
         until(lambda: budgets(made[0])[1]["budgets"]["quotes"]["held"][written(made[0].at)]["leased"], logs)
@@ -62,12 +62,13 @@
         s = made[0].stage
         for n in range(1, 21):
             s.play(f"c0 send INVITE {n}")
-        refused = [s.next("c0") for _ in range(10)]  # nothing is answered by the engine: these were at once
+        # the engine answers nothing, so these come from the softswitch
+        refused = [s.next("c0") for _ in range(10)]
         assert all(came and came.startswith("SIP/2.0 503") for came in refused), refused
-        written_there = []
+        received_by_engine = []
         while (came := s.next("e0", 0.5)) is not None:
-            written_there.append(came)
-        assert 1 <= sum(came.startswith("SET_UP") for came in written_there) <= 10
+            received_by_engine.append(came)
+        assert 1 <= sum(came.startswith("SET_UP") for came in received_by_engine) <= 10
         first = found["in_office"][0]
         dead = next(p for p in made if written(p.at) == first)
         others = [p for p in made if p is not dead]
@@ -102,13 +103,13 @@
         (FLEET + ALLOCATION + 'budgets = [{"name": "a", "what": "calls"}]\n', "Invalid enum value 'calls'"),
     ],
 )
-def test_a_file_that_can_not_be_kept_is_refused_with_the_reason(text, said):
+def test_an_invalid_file_is_rejected_with_the_reason(text, said):
     with pytest.raises(BadOperatorFile, match="f.star") as refused:
         of_text(text, "f.star")
     assert said in str(refused.value)
 
 
-def test_a_whole_lowered_by_sighup_binds_all_and_a_process_and_its_successor_are_one_holder(tmp_path):
+def test_a_total_lowered_by_sighup_applies_to_all_and_a_process_and_its_successor_are_one_holder(tmp_path):
     quotes = {"name": "quotes", "whole": 40, "floor": 2, "class": "x"}
     with budgeted(tmp_path, [quotes], 2) as made:
 
@@ -116,7 +117,7 @@
             return "\n".join(p.said() for p in made)
 
         def held():
-            found = budgets(*made)[1]  # above the whole, as told, until what the higher one gave has lapsed
+            found = budgets(*made)[1]  # above the lowered total until the earlier leases have expired
             return found["budgets"].get("quotes", {"sum": 0, "whole": 0, "held": {}})
 
         until(lambda: held()["sum"] > 30, logs)
@@ -125,16 +126,17 @@
         made[1].stage.program.send_signal(signal.SIGHUP)
         until(lambda: "total lowered: quotes: 20 slots" in logs() or held()["whole"] == 20, logs)
         until(lambda: 4 < held()["sum"] <= 20, logs)
-        # A file that can't be kept changes nothing, and says why.
+        # An invalid file changes nothing, and the reason is logged.
         star.write_text(star.read_text().replace('"floor": 2', '"floor": 12'))
         made[1].stage.program.send_signal(signal.SIGHUP)
         until(
             lambda: "floors of 2 members sum to 24 slots, more than the total of 20" in made[1].said(), logs
         )
-        # While one process replaces the other each has half of the floor, and then one has all again.
+        # While one process replaces the other, each has half of the floor; afterwards the successor has all
+        # of it.
         stage = made[0].stage
         old, before = stage.program, made[0].mgmt
-        at = own()
+        at = own_address()
         stage.start({"BALANCER_MGMT": written(at)})
         until(lambda: "the next process takes the callers" in made[0].said(), logs)
         both = [budgets_of(m)["quotes"] for m in (before, written(at))]
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets without a wire: division, windows, purse, plans, and drawn schedules with faults on virtual
+"""Budgets without a network: division, windows, spending, plans, and generated fault schedules on virtual
 time.
 """
 
@@ -46,19 +46,20 @@
 
 
 @given(st.integers(0, 500), st.lists(st.tuples(st.integers(0, 100), st.floats(0.1, 10)), max_size=12))
-def test_division_gives_no_more_than_there_is_nor_than_is_needed_and_leaves_nothing_wanted(whole, asked):
-    needs, weights = [n for n, _ in asked], [w for _, w in asked]
+def test_division_is_limited_by_total_and_needs_and_leaves_no_usable_slot(whole, requested):
+    needs, weights = [n for n, _ in requested], [w for _, w in requested]
     parts = divide(whole, needs, weights)
     assert all(0 <= p <= n for p, n in zip(parts, needs, strict=True))
     assert sum(parts) == min(whole, sum(needs))
-    # Max-min: who is cut has, for its weight, no less than anybody else but for a slot.
+    # Max-min: a need that is not met has, relative to its weight, at least as much as any other, within a
+    # slot.
     for p, n, w in zip(parts, needs, weights, strict=True):
         if p < n:
             assert all(q / v <= p / w + 1 / w + 1 / v + 1e-6 for q, v in zip(parts, weights, strict=True))
 
 
 @given(st.lists(st.floats(0, 400), min_size=1, max_size=80), st.integers(1, 12))
-def test_a_window_lets_no_more_through_than_the_exact_one_would(gaps, slots):
+def test_a_window_admits_no_more_than_an_exact_one(gaps, slots):
     window, now, uses = SlidingWindow(1000.0), 5_000.0, []
     for gap in gaps:
         now += gap
@@ -73,11 +74,11 @@
             assert deepcopy(window).used(now + wait + 1e-6) < slots
 
 
-def test_no_slots_never_open():
+def test_a_window_without_slots_never_opens():
     assert SlidingWindow(1000.0).opens_in(20.0, 0) == 1000.0
 
 
-def test_a_plan_whose_floors_sum_to_more_than_the_whole_is_refused_with_the_sum():
+def test_a_plan_whose_floors_exceed_the_total_is_rejected_with_the_sum():
     with pytest.raises(
         PlanError, match="quotes: the floors of 6 members sum to 66 slots, more than the total of 60"
     ):
@@ -91,14 +92,14 @@
         Plan((Budget("x", "repeats", 5), Budget("x", "repeats", 6)), (), ("10.0.0.1:1",))
 
 
-def test_the_lowest_whole_and_the_highest_floor_of_all_files_bind():
+def test_the_lowest_total_and_the_highest_floor_of_all_files_apply():
     assert strictest_limits(
         plan(), [{"quotes": Limits(40, 1)}, {"quotes": Limits(80, 3), "other": Limits(1, 0)}]
     ) == {"quotes": Limits(40, 3)}
 
 
-class Pocketed:
-    """A purse on a clock that a test sets."""
+class ManualClockSpending:
+    """Spending on a clock that the test sets."""
 
     def __init__(self, *budgets, held=3):
         self.now, self.held = 10_000.0, held
@@ -107,10 +108,10 @@
         )
 
 
-def test_a_purse_lets_in_what_is_held_and_tells_when_it_opens_again():
-    p = Pocketed(Budget("a", "set-ups", 60, 0, 1000.0, "x"))
+def test_spending_admits_up_to_the_held_slots_and_reports_when_it_opens():
+    p = ManualClockSpending(Budget("a", "set-ups", 60, 0, 1000.0, "x"))
     assert [p.spending.admit("x", 1.0) for _ in range(3)] == [0, 0, 0]
-    assert p.spending.admit("y", 1.0) == 0  # not bound
+    assert p.spending.admit("y", 1.0) == 0  # not limited
     wait = p.spending.admit("x", 1.0)
     assert 0 < wait <= 1000.0 * (1 + 1 / CELLS)
     p.now += wait
@@ -119,8 +120,8 @@
     assert (told["wanted"], told["spent"], told["refused"]) == (5, 4, 1)
 
 
-def test_a_purse_counts_repeats_by_themselves_and_engines_by_name():
-    p = Pocketed(
+def test_spending_counts_retries_separately_and_engines_by_name():
+    p = ManualClockSpending(
         Budget("again", "repeats", 60, 0, 1000.0), Budget("e", "set-ups", 9, 0, 1000.0, "", "s-1"), held=1
     )
     assert p.spending.may_attempt("x", "s-1", False)
@@ -133,14 +134,14 @@
     assert p.spending.may_attempt("x", "s-3", False)
 
 
-def test_a_share_is_asked_for_by_how_much_there_is_to_do():
-    p = Pocketed(Budget("cold", "cold", SHARE_SLOTS, 10, 1000.0), held=250)
+def test_the_need_of_a_share_is_weighted_by_the_load():
+    p = ManualClockSpending(Budget("cold", "cold", SHARE_SLOTS, 10, 1000.0), held=250)
     assert p.spending.share("cold", "s-1", 9.0) == 0.25
     assert p.spending.share("probes", "s-1", 9.0) == 9.0
     assert p.spending.needs()["cold"].slots == 0
     for _ in range(50):
         p.spending.admit("x", 1.0)
-    quiet = Pocketed(Budget("cold", "cold", SHARE_SLOTS, 10, 1000.0))
+    quiet = ManualClockSpending(Budget("cold", "cold", SHARE_SLOTS, 10, 1000.0))
     for _ in range(5):
         quiet.spending.admit("x", 1.0)
     cold = p.spending.needs()["cold"]
@@ -148,18 +149,18 @@
     assert cold.weight > 5 * quiet.spending.needs()["cold"].weight
 
 
-# On virtual time
+# on virtual time
 
 
 def wrong(seed):
     return bench.one(seed)[1]
 
 
-def test_drawn_schedules_keep_every_sum_and_settle():
+def test_generated_schedules_stay_within_all_totals_and_settle():
     assert not {seed: why for seed in range(6) if (why := wrong(seed))}
 
 
-def test_the_same_seed_is_the_same_run():
+def test_a_seed_replays_exactly():
     faults = [
         Fault(at_s=3.0, what="kill", who=("n1",), for_s=2.0),
         Fault(at_s=8.0, what="lose", who=("all",), other=("all",), share=0.2, for_s=4.0),
@@ -170,7 +171,7 @@
     assert not ran[0].broken
 
 
-def test_division_by_the_count_of_who_is_heard_breaks_the_sum_in_a_partition():
+def test_division_by_the_number_of_visible_members_exceeds_the_total_in_a_partition():
     faults = [Fault(at_s=6.0, what="cut", who=("site:a",), for_s=10.0)]
     over = play(plan(), 6, 2, 20.0, 1, faults, make=bench.Counted, strict=False).over
     kept = play(plan(), 6, 2, 20.0, 1, faults, demand=even(20.0))
@@ -188,7 +189,7 @@
         "all is available",
     ],
 )
-def test_a_planted_fault_is_found(name):
+def test_an_injected_fault_is_detected(name):
     undo = bench.planted()[name]()
     try:
         assert any(wrong(seed) for seed in range(40))
@@ -200,7 +201,7 @@
     return {n.name: n.client.held(n.clock(), "quotes") for n in world.nodes.values() if n.up}
 
 
-def test_parts_follow_the_load_and_a_member_that_is_cut_off_falls_to_its_floor():
+def test_slots_follow_the_load_and_an_isolated_member_falls_back_to_its_floor():
     def demand(now, node, budget):
         return 40.0 if node == ("n4" if now < 20_000 else "n5") else 1.0
 
@@ -218,7 +219,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-def test_a_newcomer_has_its_part_soon_and_what_a_dead_member_held_comes_back(seed):
+def test_a_new_member_gets_slots_soon_and_slots_of_a_dead_member_are_reused(seed):
     world = BudgetWorld(
         plan(members=12),
         8,
@@ -228,8 +229,8 @@
         demand=lambda now, node, budget: 20.0 if node in ("n5", "n7") else 2.0,
         joins={"n7": 12_000.0},
     )
-    # Its need is seen in about 1 s; others are told within a renewal, what they give up rests a window, and
-    # it asks again each SOON.
+    # Its need is visible after about 1 s. Others get smaller grants within a renewal interval, the slots that
+    # they give up cool down for a window, and it requests again each RENEW_SOON.
     world.run(12_000 + 1_000 + plan().renew_interval * 1.1 + 1_010 + 350)
     before = held(world)["n7"]
     assert before >= 7
@@ -237,7 +238,7 @@
     assert held(world)["n7"] >= before + 4
 
 
-def test_a_whole_that_one_file_lowers_binds_all_within_a_lease():
+def test_a_total_lowered_in_one_file_applies_to_all_within_a_lease():
     lower = plan(whole=30)
     world = BudgetWorld(plan(), 6, 2, 3, demand=even(20.0), plans=[(10_000.0, "n4", lower)])
     world.run(10_000)
@@ -249,7 +250,7 @@
     assert any("total lowered" in said for _, said in world.log)
 
 
-def test_an_allocator_that_leaves_is_followed_by_another_and_nobody_falls_to_its_floor():
+def test_an_allocator_that_leaves_is_replaced_before_any_lease_expires():
     world = BudgetWorld(plan(), 6, 2, 3, demand=even(20.0))
     world.run(11_900)
     first = next(n.name for n in world.nodes.values() if n.client.allocator.is_leader(n.clock()))
@@ -261,27 +262,27 @@
     assert world.lapses == 0
 
 
-def test_a_message_of_another_list_of_voters_is_denied_and_none_is_kept_on_disk():
+def test_a_promise_request_with_another_list_of_voters_is_denied():
     a, b = (LeaseClient(plan(voters=v), ADDRESSES[n], 1, 1, 0.0) for n, v in ((1, 2), (0, 3)))
-    (asked,) = {act.message for act in _until_asked(b)}
-    answer = a.message_received(20_000.0, asked)
+    (requested,) = {act.message for act in _tick_until_requested(b)}
+    answer = a.message_received(20_000.0, requested)
     assert "another list of voters" in answer[0].message.why
 
 
-def _until_asked(client):
+def _tick_until_requested(client):
     for step in range(1, 1_000):
         actions = client.tick(step * 50.0)
         requests = [action for action in actions if isinstance(action.message, PromiseRequest)]
         if requests:
             return requests
-    raise AssertionError("no promise was asked for in 50 s")
+    raise AssertionError("no promise was requested in 50 s")
 
 
-# What drawn schedules seldom meet: one role at a time
+# single roles: cases that are rare in generated schedules
 
 
 def elected(made=None, now=10_000.0):
-    """An allocator that has just been elected, and when."""
+    """Returns an allocator that has just been elected, and the time."""
     made = made or plan(voters=1)
     allocator = Allocator(made, ADDRESSES[0], 1, Random(1), now)
     (ask,) = allocator.tick(now + 60_000.0, "")
@@ -293,7 +294,7 @@
     return LeaseRequest(ADDRESSES[n], boot, seq, epoch, basis, (BudgetRequest("quotes", 60, 1, held, need),))
 
 
-def test_a_grant_runs_from_when_it_was_asked_for_however_late_it_comes():
+def test_a_lease_runs_from_the_time_of_its_request():
     made = plan()
     holder = LeaseHolder(made, ADDRESSES[1], 1, Random(1), 0.0)
     _, said = holder.request(5_000.0)
@@ -306,7 +307,7 @@
     assert holder.leased(5_000.0 + made.lease, "quotes") == 0
 
 
-def test_a_grant_that_names_another_basis_or_another_life_is_not_taken():
+def test_a_grant_with_another_basis_boot_or_request_is_not_accepted():
     made = plan()
     holder = LeaseHolder(made, ADDRESSES[1], 7, Random(1), 0.0)
     _, said = holder.request(100.0)
@@ -318,15 +319,15 @@
         assert holder.leased(200.0, "quotes") == 0
 
 
-def test_a_floor_begins_a_window_after_the_start():
+def test_a_floor_is_usable_a_window_after_the_start():
     holder = LeaseHolder(plan(), ADDRESSES[1], 1, Random(1), 1_000.0)
     assert holder.held(1_000.0 + 1_009.0, "quotes") == 0
     assert holder.held(1_000.0 + 1_010.0, "quotes") == 1
 
 
-def test_a_new_office_renews_what_an_echo_tells_and_raises_nothing_before_all_is_over():
+def test_a_new_epoch_renews_after_an_echo_and_raises_nothing_before_old_leases_expire():
     allocator, now = elected()
-    # it may have been sent long before
+    # without the echo it may have been sent before the epoch
     stranger = allocator.lease_requested(now, lease_request(held=20, basis=(5, 3)))
     assert isinstance(stranger, Redirect)
     assert stranger.epoch == allocator.epoch
@@ -343,7 +344,7 @@
     assert dict(raised.slots)["quotes"] > 0
 
 
-def test_what_a_life_before_holds_stays_in_the_books_until_it_is_surely_over():
+def test_slots_of_an_earlier_start_stay_in_the_ledger_until_their_lease_expires():
     allocator, now = elected()
     now += allocator.plan.lease_bound + 1_011.0
     allocator.until = now + 60_000.0
@@ -354,31 +355,31 @@
     assert dict(again.slots)["quotes"] <= 54 - out
     over = now + allocator.plan.lease_bound + 1.0
     allocator.ledger.divide(over)
-    assert allocator.ledger.cooling_slots["quotes"] >= out - 1  # and rests for a window
+    assert allocator.ledger.cooling_slots["quotes"] >= out - 1  # and cools down for a window
     assert allocator.ledger.available(over, "quotes") <= 54 - out
     assert allocator.ledger.available(over + 1_011.0, "quotes") >= out
 
 
-def test_voters_that_point_at_each_other_are_not_asked_without_a_pause():
+def test_requests_are_paced_if_voters_redirect_to_each_other():
     holder = LeaseHolder(plan(), ADDRESSES[4], 1, Random(1), 0.0)
-    holder.redirected(0.0, Redirect(NO_EPOCH, ADDRESSES[0]))  # before anything was asked
-    now, asked = 1_000.0, 0
+    holder.redirected(0.0, Redirect(NO_EPOCH, ADDRESSES[0]))  # before any request
+    now, requested = 1_000.0, 0
     for n in range(2_000):
         now += 0.5
         holder.redirected(now, Redirect(NO_EPOCH, ADDRESSES[n % 2]))
         if now >= holder.next_request:
             holder.request(now)
-            asked += 1
-    assert 2 < asked <= 21
+            requested += 1
+    assert 2 < requested <= 21
 
 
-def test_voters_with_other_times_deny_each_other():
+def test_voters_with_different_times_deny_each_other():
     a, b = (LeaseClient(plan(promise=p), ADDRESSES[n], 1, 1, 0.0) for n, p in ((1, 3_000.0), (0, 5_000.0)))
-    asked = _until_asked(b)[0].message
-    assert "other times" in a.message_received(20_000.0, asked)[0].message.why
+    requested = _tick_until_requested(b)[0].message
+    assert "other times" in a.message_received(20_000.0, requested)[0].message.why
 
 
-def test_what_a_budget_is_does_not_change_under_slots_that_are_out():
+def test_the_definition_of_a_budget_does_not_change_while_slots_are_leased():
     client = LeaseClient(plan(whole=60, floor=2), ADDRESSES[1], 1, 1, 0.0)
     longer = Budget("quotes", "set-ups", 240, 8, 4000.0)
     more = Budget("more", "repeats", 10, 1, 1000.0)
@@ -404,7 +405,7 @@
         assert len(msgspec.msgpack.encode(message)) <= 1_300
 
 
-def test_floors_that_were_gained_rest_also_when_more_is_gained_soon_after():
+def test_gained_floor_fractions_cool_down_also_after_a_second_gain():
     floors = FloorFraction(0.0, 4_000.0)
     floors.set(0.0, 0.5)
     assert floors.usable(3_999.0, 4_000.0) == 0.0
@@ -412,5 +413,5 @@
     floors.set(1_600.0, 1.0)
     assert floors.usable(1_600.0, 4_000.0) == 0.0
     assert floors.usable(5_600.0, 4_000.0) == 1.0
-    floors.set(9_000.0, 0.5)  # what is lost is lost at once
+    floors.set(9_000.0, 0.5)  # a lower fraction applies at once
     assert floors.usable(9_000.0, 4_000.0) == 0.5
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,5 +1,5 @@
-"""The fleet view of real processes: three softswitches and the command, a replacement, a drill with
-relays.
+"""The fleet view of real processes: three softswitches and the `fleet view` command, a replacement, and a
+drill with relays.
 """
 
 import json
@@ -16,18 +16,18 @@
 
 from softswitch.standin.addresses import own_hosts
 
-PATIENCE = 20.0  # s for a condition to come true
+TIMEOUT = 20.0  # s
 
 
-def own():
-    """An address that no other process, nor a connection that goes out, can have taken meanwhile."""
+def own_address():
+    """An address of this test alone, which no other process or outgoing connection can use."""
     return own_hosts(1)[0], 7_946
 
 
-def until(true, why):
-    end = time.monotonic() + PATIENCE
+def until(condition, why):
+    end = time.monotonic() + TIMEOUT
     while True:
-        found = true()
+        found = condition()
         if found:
             return found
         assert time.monotonic() < end, why()
@@ -35,7 +35,7 @@
 
 
 class Process:
-    """One softswitch with a view, among stand-ins of its own."""
+    """One softswitch with a fleet view, and its own stand-ins."""
 
     def __init__(self, folder, n, at, seeds, fleet="f", **more):
         self.folder, self.n, self.at = folder, n, at
@@ -66,7 +66,7 @@
 
 @contextmanager
 def processes(folder, count=3, **more):
-    at = [own() for _ in range(count)]
+    at = [own_address() for _ in range(count)]
     with ExitStack() as stack:
         made = [Process(folder, n, at[n], at[:2], **more) for n in range(count)]
         for p in made:
@@ -81,7 +81,7 @@
 
 
 def states(made, *seen_by):
-    """State by name, if all that are asked agree; else None."""
+    """State by name if all queried softswitches agree; otherwise None."""
     code, found = view(*seen_by)
     assert (code == 0) == found["agree"]
     if not found["agree"]:
@@ -89,7 +89,7 @@
     return {m["name"]: next(iter(m["said"].values()))["state"] for m in found["members"]}
 
 
-def test_three_processes_agree_see_one_go_and_come_back_and_the_command_tells(tmp_path):
+def test_three_processes_and_the_command_agree_through_a_crash_a_restart_and_a_stop(tmp_path):
     with processes(tmp_path) as made:
         everyone = {"n0": "alive", "n1": "alive", "n2": "alive"}
 
@@ -105,51 +105,51 @@
         assert not found["agree"]
         assert made[2].mgmt in found["errors"]
         until(lambda: states(made, *made[:2]) == everyone | {"n2": "gone"}, logs)
-        # A spoilt snapshot: one line, and it serves on from its seeds.
+        # A corrupt snapshot is logged once, and the softswitch joins through its seeds.
         (tmp_path / "state2/fleet-f-n2.snapshot").write_bytes(b"whsn and noise")
         made[2].stage.start()
         until(lambda: states(made, *made) == everyone, logs)
         assert made[2].said().count("fleet: snapshot not read, the softswitch serves on from its seeds") == 1
-        # A planned stop says so.
+        # A planned stop is announced.
         made[2].stage.program.send_signal(signal.SIGTERM)
         assert made[2].stage.program.wait(10) == 0
         until(lambda: states(made, *made[:2]) == everyone | {"n2": "left"}, logs)
-        # its last attempts may still be out
+        # its last attempts may still be in flight
         assert "fleet: size changed to 2," not in made[0].said()
         assert "fault" not in logs()
         assert "ERROR" not in logs()
 
 
-def test_while_one_process_replaces_another_the_two_are_one_member(tmp_path):
+def test_a_process_and_its_successor_are_one_member(tmp_path):
     with processes(tmp_path) as made:
         until(lambda: states(made, *made) == {"n0": "alive", "n1": "alive", "n2": "alive"}, made[0].said)
         stage = made[2].stage
         old = stage.program
-        stage.start({"BALANCER_MGMT": written(own())})
+        stage.start({"BALANCER_MGMT": written(own_address())})
         until(lambda: "the next process takes the callers" in made[2].said(), made[2].said)
         old.send_signal(signal.SIGTERM)
         assert old.wait(15) == 0
 
-        def came_back():
+        def rejoined():
             found = view(*made[:2])[1]
             (row,) = [m for m in found["members"] if m["name"] == "n2"]
             return found["agree"] and all(
                 s["state"] == "alive" and s["incarnation"] > 1 for s in row["said"].values()
             )
 
-        until(came_back, lambda: made[0].said() + made[2].said())
+        until(rejoined, lambda: made[0].said() + made[2].said())
         for p in made[:2]:
             assert "n2@" + written(made[2].at) + " is gone" not in p.said(), p.said()
             assert "n2@" + written(made[2].at) + " is left" not in p.said(), p.said()
 
 
-def test_another_fleet_a_stranger_and_a_name_that_is_taken(tmp_path):
+def test_another_fleet_undecodable_datagrams_and_a_name_conflict(tmp_path):
     with processes(tmp_path, 2) as made, ExitStack() as stack:
         until(lambda: states(made, *made) == {"n0": "alive", "n1": "alive"}, made[0].said)
         seeds = [p.at for p in made]
-        other = Process(tmp_path, 5, own(), seeds, fleet="g")
+        other = Process(tmp_path, 5, own_address(), seeds, fleet="g")
         stack.enter_context(other.stage)
-        twin = Process(tmp_path, 6, own(), seeds, member="n0")
+        twin = Process(tmp_path, 6, own_address(), seeds, member="n0")
         stack.enter_context(twin.stage)
         until(lambda: "turned away there: fleet 'g', this one is 'f'" in other.said(), other.said)
         until(lambda: "fleet: name taken: n0 is at " in made[0].said(), made[0].said)
@@ -253,6 +253,6 @@
     code, said = run("simulate", "--schedule", "/none.json")
     assert code == 2
     assert "/none.json: can't be read" in said
-    code, said = run("view", written(own()), "--json")
+    code, said = run("view", written(own_address()), "--json")
     assert code == 1
     assert "not reached" in said
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -1,5 +1,5 @@
-"""The fleet view: its rules by hand, drawn schedules on virtual time, planted faults, the snapshot, its
-table.
+"""The fleet view: protocol rules, generated fault schedules on virtual time, injected faults, the snapshot,
+and the `fleet` table of the operator file.
 """
 
 import os
@@ -41,15 +41,15 @@
     return made
 
 
-def told(m, now, *records, sender="n1"):
+def receive(m, now, *records, sender="n1"):
     head = Header("f", 1, record(sender), 0)
     return m.datagram_received(now, Updates(head, tuple(records)))
 
 
-# the table
+# member table
 
 
-def test_tables_that_saw_the_same_records_in_any_order_are_equal():
+def test_tables_with_the_same_records_in_any_order_are_equal():
     rng = random.Random(4)
     said = [
         record(f"n{rng.randrange(5)}", rng.choice(list(State)), rng.randrange(4), rng.randrange(3))
@@ -66,7 +66,7 @@
     assert len(seen) == 1
 
 
-def test_an_end_is_final_for_its_incarnation_and_a_higher_one_is_a_new_life():
+def test_an_ended_state_is_final_until_a_higher_incarnation():
     table = MemberTable()
     for state in (State.ALIVE, State.GONE, State.ALIVE, State.SUSPECT):
         table.put(0.0, record("n1", state, 3))
@@ -76,7 +76,7 @@
     assert table.changed_at["n1@10.0.0.1:7001"] == 5.0
 
 
-def test_news_is_passed_on_a_bounded_number_of_times():
+def test_an_update_is_sent_a_bounded_number_of_times():
     table = MemberTable()
     for n in range(8):
         table.put(0.0, record(f"n{n}"))
@@ -85,7 +85,7 @@
     assert not table.pending
 
 
-def test_a_tombstone_lives_its_time_and_no_longer_whoever_hears_of_it():
+def test_a_tombstone_expires_at_the_same_time_at_every_member():
     dead = record("n2", State.GONE)
     a, b, late = member("n0"), member("n1"), member("n3")
 
@@ -97,10 +97,10 @@
         other.exchange_message_received(now, rest)
 
     a.table.put(0.0, dead)
-    b.table.put(10_000.0, dead)  # heard of it a little later
+    b.table.put(10_000.0, dead)  # received a little later
     half = TOMBSTONE_LIFETIME / 2
     exchange(half, late, a)
-    # as old as it is, and no news
+    # the age is preserved, and the record is not disseminated again
     assert late.table.changed_at[dead.key] == 0.0
     assert dead.key not in late.table.pending
     now = TOMBSTONE_LIFETIME + 5_000.0
@@ -109,7 +109,7 @@
     assert dead.key in b.table.records
     exchange(now, a, b)
     exchange(now, b, a)
-    assert dead.key not in a.table.records  # it does not come back
+    assert dead.key not in a.table.records  # it is not added again
     for m in (b, late):
         m.table.remove_expired(TOMBSTONE_LIFETIME + 11_000.0)
         assert dead.key not in m.table.records
@@ -117,7 +117,7 @@
     assert sum(a.table.count.values()) == len(a.table.records)
 
 
-NO_SOCKET = (
+INVALID_ADDRESSES = (
     "10.0.0.1:65536",
     "10.0.0.1:99999",
     "10.0.0.1:0",
@@ -128,8 +128,8 @@
 )
 
 
-@pytest.mark.parametrize("address", NO_SOCKET)
-def test_an_address_that_no_socket_takes_is_garbage(address):
+@pytest.mark.parametrize("address", INVALID_ADDRESSES)
+def test_an_address_that_a_socket_can_not_bind_is_rejected(address):
     codec = msgspec.msgpack.Decoder(Message)
     for good in ("10.0.0.1:65535", "0.0.0.0:1", "255.249.199.99:7946"):
         sender = msgspec.structs.replace(record("n1"), address=good)
@@ -145,10 +145,10 @@
 # one member
 
 
-def test_it_takes_back_what_is_said_of_it_and_tells_some_at_once():
+def test_a_suspected_member_refutes_and_notifies_some_members_at_once():
     m = member()
-    told(m, 1.0, record("n2"), record("n3"))
-    acts = told(m, 10.0, msgspec.structs.replace(m.me, state=State.SUSPECT))
+    receive(m, 1.0, record("n2"), record("n3"))
+    acts = receive(m, 10.0, msgspec.structs.replace(m.me, state=State.SUSPECT))
     assert m.me.incarnation == 2
     assert m.me.state is State.ALIVE
     sent = [a for a in acts if isinstance(a, Send) and isinstance(a.message, Updates)]
@@ -157,26 +157,26 @@
     assert any(isinstance(a, Notice) and a.event == "accused" for a in acts)
 
 
-def test_a_restart_that_forgot_overrules_what_was_said_of_the_life_before():
+def test_a_restart_without_a_snapshot_overrules_records_of_earlier_incarnations():
     m = member()
-    told(m, 1.0, record("n0", State.LEFT, incarnation=41, boot=99))
+    receive(m, 1.0, record("n0", State.LEFT, incarnation=41, boot=99))
     assert m.me.incarnation == 42
     assert m.me.state is State.ALIVE
     assert m.me.boot == 1
-    told(m, 2.0, record("n0", State.GONE, incarnation=17, boot=98))  # of a life before that, late
+    receive(m, 2.0, record("n0", State.GONE, incarnation=17, boot=98))  # of an earlier incarnation, delayed
     assert m.me.incarnation == 42
 
 
-def test_two_processes_of_one_name_are_both_told_and_neither_is_taken_down():
+def test_a_name_conflict_is_reported_and_neither_member_is_stopped():
     m = member()
     other = msgspec.structs.replace(record("n0", boot=5), address="10.0.0.9:7000")
-    acts = told(m, 1.0, other)
+    acts = receive(m, 1.0, other)
     assert [a.details for a in acts if isinstance(a, Notice) and a.event == "name taken"] == [
         "n0 is at 10.0.0.9:7000 too"
     ]
     assert m.me.incarnation == 1
     assert m.table.records[other.key].state is State.ALIVE
-    assert not [a for a in told(m, 2.0, other) if isinstance(a, Notice)]  # once
+    assert not [a for a in receive(m, 2.0, other) if isinstance(a, Notice)]  # reported once
 
 
 @pytest.mark.parametrize(
@@ -186,7 +186,7 @@
         (Header("f", 9, record("n1"), 0), "format 9 of messages, 1 is spoken here"),
     ],
 )
-def test_another_fleet_or_format_is_refused_with_a_reason(head, why):
+def test_another_fleet_or_format_is_rejected_with_a_reason(head, why):
     m = member()
     acts = m.datagram_received(1.0, Ping(head, 1, m.me.key))
     assert [a.message for a in acts if isinstance(a, Send)] == [Rejected(why)]
@@ -194,9 +194,9 @@
     assert m.exchange_message_received(1.0, CompareDigests(head, (0,) * 64))[0] == Rejected(why)
 
 
-def test_one_that_stood_still_gives_every_wait_its_time_again_and_accuses_nobody():
+def test_after_a_stall_timeouts_are_extended_and_no_member_is_suspected():
     m = member()
-    told(m, 0.0, record("n1"), record("n2"), record("n3"))
+    receive(m, 0.0, record("n1"), record("n2"), record("n3"))
     m.tick(m.next_at())
     assert m.probe is not None
     acts = m.tick(30_000.0)
@@ -206,13 +206,13 @@
     assert not [a for a in acts if isinstance(a, MemberChanged)]
 
 
-def test_a_minority_calls_nobody_gone_and_says_that_it_is_cut_off():
+def test_a_minority_reports_cut_off_and_declares_no_member_gone():
     m, now = member(), 0.0
-    told(m, 0.0, *(record(f"n{n}") for n in range(1, 5)))
+    receive(m, 0.0, *(record(f"n{n}") for n in range(1, 5)))
     said = []
     while now < 60_000.0:
         now = max(now + 1.0, m.next_at())
-        m.last_received_at = now  # something is heard, from nobody of use
+        m.last_received_at = now  # messages are received, but none from a known member
         said += m.tick(now)
     assert m.cut_off
     assert "cut off" in [a.event for a in said if isinstance(a, Notice)]
@@ -221,9 +221,9 @@
     assert m.count_by_site()[""]["gone"] == 0
 
 
-def test_one_that_hears_nobody_accuses_nobody():
+def test_an_isolated_member_declares_no_member_gone():
     m, now = member(), 0.0
-    told(m, 0.0, *(record(f"n{n}") for n in range(1, 6)))
+    receive(m, 0.0, *(record(f"n{n}") for n in range(1, 6)))
     while now < 60_000.0:
         now = max(now + 1.0, m.next_at())
         m.tick(now)
@@ -232,7 +232,7 @@
     assert m.counts["accused"] <= 3
 
 
-def test_garbage_that_can_be_decoded_changes_nothing_and_each_message_has_a_bound():
+def test_unexpected_messages_change_nothing_and_message_sizes_are_bounded():
     codec = msgspec.msgpack.Decoder(Message)
     big = msgspec.msgpack.encode(
         Updates(Header("f", 1, record("n1"), 0), tuple(record(f"n{n}") for n in range(65)))
@@ -241,11 +241,11 @@
         with pytest.raises((msgspec.DecodeError, msgspec.ValidationError)):
             codec.decode(data)
     m = member()
-    m.datagram_received(1.0, Ack(Header("f", 1, record("n1"), 0), 12345))  # of a probe that never was
+    m.datagram_received(1.0, Ack(Header("f", 1, record("n1"), 0), 12345))  # of a probe that was not sent
     assert m.probe is None
 
 
-def test_joining_asks_the_seeds_and_goes_on_alone_when_none_is_there():
+def test_joining_contacts_the_seeds_and_continues_alone_without_an_answer():
     m = Member("f", record("n0", State.JOINING), ("10.0.0.1:7001", "10.0.0.1:7002"), Periods(), 3, 0.0)
     asked, now = [], 0.0
     while now < 6_000.0:
@@ -255,10 +255,10 @@
     assert m.me.state is State.ALIVE
 
 
-# the number that the module is told
+# fleet size
 
 
-def test_the_number_rises_at_once_and_falls_only_when_the_last_attempts_have_ended():
+def test_fleet_size_rises_at_once_and_falls_after_the_last_attempts_have_ended():
     size, all_ = FleetSize(4, linger=10_000.0), [record(f"n{n}") for n in range(6)]
     assert size.update(0.0, all_[:1], joined=False, cut_off=False) == 4
     assert size.update(0.0, all_[:2], joined=True, cut_off=False) == 2
@@ -266,7 +266,7 @@
     fewer = [*all_[:4], record("n4", State.GONE), record("n5", State.LEFT)]
     assert size.update(2.0, fewer, joined=True, cut_off=False) == 6
     assert size.update(10_001.0, fewer, joined=True, cut_off=False) == 6
-    assert size.update(10_003.0, fewer, joined=True, cut_off=True) == 6  # who is cut off can't know
+    assert size.update(10_003.0, fewer, joined=True, cut_off=True) == 6  # an isolated member can't tell
     assert size.update(10_003.0, fewer, joined=True, cut_off=False) == 4
     assert size.update(10_004.0, all_, joined=True, cut_off=False) == 6
 
@@ -274,7 +274,7 @@
 # many members on virtual time
 
 
-def test_drawn_schedules_settle_and_break_no_rule():
+def test_generated_schedules_settle_and_violate_no_invariant():
     for seed in range(30):
         rng = random.Random(seed)
         n, places = rng.randint(3, 14), rng.randint(1, 4)
@@ -284,14 +284,14 @@
 
 
 @pytest.mark.parametrize("seed", [279, 5741, 6157, 8391])
-def test_a_schedule_that_left_many_dead_settles(seed):
-    """Of 10,000 drawn schedules these four had not settled at their end, 12 s after the last fault.
-
-    What happened: a third of the members or more was killed. All agreed soon that these were suspects
-    (seed 279: from 31.9 s on), and called them gone only at 39.1 to 40.4 s. A member holds a suspicion
-    while half of its last four probes found nobody, as it may be the one that is away; but suspects are
-    probed on, so the dead themselves kept all the others in doubt of their own health. Seed 6157, with
-    four of nine dead, loss and starved members, still takes longer.
+def test_a_schedule_that_kills_many_members_settles(seed):
+    """Guards against failed probes of dead suspects that delay the declaration of these suspects as gone.
+
+    Of 10,000 generated schedules these four had not settled at their end, 12 s after the last fault. A third
+    of the members or more was killed. All others soon agreed that these were suspects (seed 279: from 31.9 s
+    on), but declared them gone only at 39.1 to 40.4 s: a member extends suspicions while half of its last
+    four probes failed, because it may be isolated itself, and probes of the dead suspects counted as failed.
+    Seed 6157, with four of nine dead, loss and starved members, still takes longer.
     """
     rng = random.Random(seed)
     n, places = rng.randint(3, 14), rng.randint(1, 4)
@@ -315,8 +315,8 @@
     assert runs[0][0] > 1_000
 
 
-N = [f"n{k}" for k in range(12)]
-HARD = {
+NAMES = [f"n{k}" for k in range(12)]
+HARD_CASES = {
     "three parts that heal in two steps": (
         40,
         [
@@ -327,7 +327,11 @@
     "one way, nothing goes out": (40, [Fault(at_s=6, what="cut one way", who=("n4",), for_s=15)]),
     "one way, nothing comes in": (
         40,
-        [Fault(at_s=6, what="cut one way", who=tuple(n for n in N if n != "n4"), other=("n4",), for_s=15)],
+        [
+            Fault(
+                at_s=6, what="cut one way", who=tuple(n for n in NAMES if n != "n4"), other=("n4",), for_s=15
+            )
+        ],
     ),
     "stopped for 30 s": (55, [Fault(at_s=6, what="stop", who=("n4",), for_s=30)]),
     "a site cut off, restarted, joined again": (
@@ -356,17 +360,17 @@
 }
 
 
-@pytest.mark.parametrize("name", HARD)
-def test_hard_cases_settle_and_nobody_is_called_gone_falsely(name):
-    seconds, faults = HARD[name]
+@pytest.mark.parametrize("name", HARD_CASES)
+def test_hard_cases_settle_without_false_gone_members(name):
+    seconds, faults = HARD_CASES[name]
     for seed in (1, 2):
         o = play(12, 3, seconds, seed, faults, forget=0.0)
         assert o.settled and not o.broken and o.false_gone == 0, o
         assert all(known < 5.0 for known in o.know_s), o
 
 
-def test_a_planted_fault_is_found(monkeypatch):
-    """The checker sees a table in which an ended life comes back, and one whose news nobody takes back."""
+def test_an_injected_fault_is_detected(monkeypatch):
+    """The checker detects a member that refutes nothing, and a table that accepts an older incarnation."""
     sites = {f"n{k}": "ab"[k % 2] for k in range(9)}
 
     def wrong():
@@ -380,14 +384,14 @@
         assert wrong()
     old = MemberTable.put
 
-    def revives(self, now, record, age=0.0):
+    def put_older_incarnation(self, now, record, age=0.0):
         held = self.records.get(record.key)
         if held is not None and record.incarnation < held.incarnation:
             self.drop(record.key)
         return old(self, now, record, age)
 
     with monkeypatch.context() as patch:
-        patch.setattr(MemberTable, "put", revives)
+        patch.setattr(MemberTable, "put", put_older_incarnation)
         assert wrong()
     assert not wrong()
 
@@ -410,7 +414,7 @@
         ("[{", "truncated"),
     ],
 )
-def test_a_bad_schedule_is_refused_with_its_reason(text, why):
+def test_an_invalid_schedule_is_rejected_with_the_reason(text, why):
     with pytest.raises(BadSchedule) as caught:
         of_json(text.encode(), "s.json", {"n0": "a", "n1": "b"})
     assert "s.json: " in str(caught.value)
@@ -424,11 +428,11 @@
     assert selected(("n1", "all"), sites) == ["n1", "n0", "n2"]
 
 
-# the snapshot
+# snapshot
 
 
-class Failing(OsFileOperations):
-    """A disk that fails at a step, or writes a part only."""
+class FailingFileOperations(OsFileOperations):
+    """File operations that fail at a step, or write only a part."""
 
     def __init__(self, step):
         self.step = step
@@ -447,22 +451,22 @@
         super().replace(old, new)
 
 
-def test_a_snapshot_is_there_whole_or_the_one_before_is(tmp_path):
+def test_a_snapshot_is_replaced_atomically(tmp_path):
     path = tmp_path / "s"
     assert Snapshot(path, 1, 1).read() is None
     Snapshot(path, 1, 1).write(b"first")
     for step in ("full", "read-only"):
         with pytest.raises(OSError):
-            Snapshot(path, 1, 1, Failing(step)).write(b"second")
+            Snapshot(path, 1, 1, FailingFileOperations(step)).write(b"second")
         assert os.listdir(tmp_path) == ["s"]
     with pytest.raises(KeyboardInterrupt):
-        Snapshot(path, 1, 1, Failing("killed")).write(b"second")
+        Snapshot(path, 1, 1, FailingFileOperations("killed")).write(b"second")
     assert Snapshot(path, 1, 1).read() == (1, b"first")
     Snapshot(path, 1, 1).write(b"second")
     assert Snapshot(path, 1, 1).read() == (1, b"second")
 
 
-def test_a_snapshot_that_is_spoilt_cut_or_of_another_version_is_told_and_left(tmp_path):
+def test_a_corrupt_truncated_or_unsupported_snapshot_is_reported_and_left_unchanged(tmp_path):
     path = tmp_path / "s"
     Snapshot(path, 1, 1).write(b"what was known")
     whole = path.read_bytes()
@@ -478,7 +482,7 @@
     assert Snapshot(path, 1, 2).read(versions=(1,)) == (1, b"what was known")
 
 
-# its table in the operator file
+# `fleet` table of the operator file
 
 
 @pytest.mark.parametrize(
@@ -508,7 +512,7 @@
         ),
     ],
 )
-def test_a_bad_table_is_refused_at_start_with_file_line_and_reason(tmp_path, line, why):
+def test_an_invalid_table_is_rejected_at_start_with_file_line_and_reason(tmp_path, line, why):
     path = tmp_path / "o.star"
     path.write_text("\n" + line + "\n")
     root = Path(__file__).parent.parent
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Files that 020d907 wrote are read as it read them: a fleet snapshot and a traffic record, under data/."""
+"""Files written by commit 020d907, under data/, are still readable: a fleet snapshot and a traffic record."""
 
 import msgspec
 from support.harness import ROOT
@@ -38,8 +38,8 @@
     ]
 
 
-def test_the_digest_of_settings_is_that_of_020d907():
-    # softswitches of two versions with the same settings must not seem to have others
+def test_the_digest_of_settings_has_not_changed_since_020d907():
+    # softswitches of two versions with the same settings must report the same digest
     from support.settings import INFO
 
     from softswitch.components import settings_digest
