--- a/softswitch/budgets/ledger.py
+++ b/softswitch/budgets/ledger.py
@@ -48,7 +48,7 @@
     weights: dict[str, float] = field(default_factory=dict)
     limits: dict[str, Limits] = field(default_factory=dict)  # of the holder's own file
     targets: dict[str, int] = field(default_factory=dict)
-    off_target_at: dict[str, float] = field(default_factory=dict)  # by more than MIN_CHANGE
+    off_target_at: dict[str, float] = field(default_factory=dict)  # when the change first exceeded MIN_CHANGE
     returned_all: bool = False
 
 
--- a/softswitch/fleet/member.py
+++ b/softswitch/fleet/member.py
@@ -170,7 +170,7 @@
         self.next_tick_due, self.started_at = now, now  # ms
         self.next_early_exchange = now  # earliest exchange because of a differing digest
         self.recent_probes: deque[bool] = deque(maxlen=RECENT_PROBES)  # whether they were acknowledged
-        self.accuses: dict[str, None] = {}  # keys of suspects whose own probe failed
+        self.own_suspects: dict[str, None] = {}  # keys of suspects whose own probe failed
         # digest of the table that was counted; names present; names in total
         self.name_counts: tuple[int, int, int] = (-1, 0, 0)
         self.next_probe, self.next_exchange, self.next_retry = now, now, now
@@ -190,7 +190,7 @@
     # sent messages
 
     def _header(self) -> Header:
-        return Header(self.fleet, FORMAT, self.me, self.table.digest, tuple(self.accuses)[:4])
+        return Header(self.fleet, FORMAT, self.me, self.table.digest, tuple(self.own_suspects)[:4])
 
     def _take_actions(self) -> list[Action]:
         actions, self.actions = self.actions, []
@@ -203,8 +203,8 @@
         Only the recipient itself can refute that state.
         """
         record = self.table.records.get(recipient)
-        accused = record is not None and record.state in (State.SUSPECT, State.GONE)
-        return self.table.next_updates(PIGGYBACK, (recipient,) if accused else ())
+        suspected = record is not None and record.state in (State.SUSPECT, State.GONE)
+        return self.table.next_updates(PIGGYBACK, (recipient,) if suspected else ())
 
     def _next_seq(self) -> int:
         self.seq = (self.seq + 1) % (1 << 40)
@@ -356,7 +356,7 @@
         ):
             return  # nothing was received from any member: this process is probably the isolated one
         self.counts["accused"] += 1
-        self.accuses[key] = None
+        self.own_suspects[key] = None
         self._merge(now, (msgspec.structs.replace(record, state=State.SUSPECT),))
         self.actions.append(Send(record.address, Updates(self._header(), (self.table.records[key],))))
 
@@ -494,7 +494,7 @@
             return self._take_actions()
         self.last_received_at = now
         self._merge(now, (header.sender, *getattr(message, "updates", ())))
-        for key in header.accuses:
+        for key in header.suspects:
             if key in self.suspicions:
                 self.suspicions[key].confirmers.add(header.sender.key)
         sender = header.sender.address
@@ -536,7 +536,7 @@
             self.probe = None
             self.recent_probes.append(True)
             self.health_score = max(0, self.health_score - 1)
-            self.accuses.pop(p.key, None)
+            self.own_suspects.pop(p.key, None)
             return
         indirect = self.indirect_probes.pop(message.seq, None)
         if indirect is not None:
@@ -586,7 +586,7 @@
                 self._start_suspicion(now, record)
             else:
                 self.suspicions.pop(record.key, None)
-                self.accuses.pop(record.key, None)
+                self.own_suspects.pop(record.key, None)
             self._check_name_conflict(record)
             if old is None or old.state is not record.state or old.boot != record.boot:
                 self.actions.append(MemberChanged(record, None if old is None else old.state))
--- a/softswitch/fleet/messages.py
+++ b/softswitch/fleet/messages.py
@@ -81,7 +81,7 @@
     sender: Record
     digest: Digest  # of the sender's complete table
     # keys of members that the sender suspects because its own probes failed
-    accuses: Annotated[tuple[Annotated[str, Meta(max_length=160)], ...], Meta(max_length=4)] = ()
+    suspects: Annotated[tuple[Annotated[str, Meta(max_length=160)], ...], Meta(max_length=4)] = ()
 
 
 class Ping(Struct, frozen=True, array_like=True, tag=1):
--- a/softswitch/net/peers.py
+++ b/softswitch/net/peers.py
@@ -307,7 +307,7 @@
             "cut_off": self.member.cut_off,
             "size": self.applied_size,
             "health": self.member.health_score,
-            **{what.replace(" ", "_"): n for what, n in counts.items()},
+            **{name.replace(" ", "_"): n for name, n in counts.items()},
         }
 
     def stop(self) -> None:
@@ -377,7 +377,7 @@
         self._apply_size()
 
     def _apply_size(self) -> None:
-        """Applies a changed fleet size to the switch, which divides slow start and probes of engines by it.
+        """Applies a changed fleet size, by which the decision module divides the capacity of warming engines.
 
         `FleetSize` raises the size at once and lowers it with a delay.
         """
