--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -24,7 +24,7 @@
 from softswitch.budgets.plan import Budget, Plan
 from softswitch.budgets.sliding_window import SlidingWindow
 from softswitch.standin.faults.budget_simulation import BudgetWorld, address_of, even, play
-from softswitch.standin.faults.schedule import drawn
+from softswitch.standin.faults.schedule import generate_schedule
 
 SECONDS, STEPS = 40.0, 600  # of a drawn schedule; of a way through the model
 
@@ -46,7 +46,7 @@
     n, places = rng.randint(3, 10), rng.randint(1, 4)
     names = [f"n{k}" for k in range(n)]
     sites = {name: "abcd"[k % places] for k, name in enumerate(names)}
-    faults = drawn(seed, names, sites, SECONDS)
+    faults = generate_schedule(seed, names, sites, SECONDS)
     made = small(n, rng.choice((1, 3, 5)), rng.choice((0.0, 0.01, 0.05)))
     load = rng.choice((even(2.0), even(12.0), even(40.0), hot(n, 3_000.0), hot(n, 7_000.0)))
     more = {"demand": load, "lose": rng.choice((0.0, 0.0, 0.1)), "late": rng.choice((0.01, 0.01, 0.3))} | more
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -20,7 +20,7 @@
 from softswitch.fleet.member_table import MemberTable
 from softswitch.fleet.messages import Ping, State
 from softswitch.standin.faults.fleet_simulation import World, play
-from softswitch.standin.faults.schedule import Fault, drawn
+from softswitch.standin.faults.schedule import Fault, generate_schedule
 
 
 def one(seed, make=Member):
@@ -29,7 +29,7 @@
     n, places = rng.randint(3, 14), rng.randint(1, 4)
     names = [f"n{k}" for k in range(n)]
     sites = {name: "abcd"[k % places] for k, name in enumerate(names)}
-    faults = drawn(seed, names, sites, 40.0)
+    faults = generate_schedule(seed, names, sites, 40.0)
     # One in four runs has lost datagrams all the while, one in four members short of processor.
     lose, starved = rng.choice((0.0, 0.0, 0.0, 0.1)), rng.choice((0.0, 0.0, 0.0, 0.2))
     o = play(n, places, 40.0, seed, faults, make=make, lose=lose, starved=starved)
--- a/softswitch/cli/fleet.py
+++ b/softswitch/cli/fleet.py
@@ -179,13 +179,13 @@
 
 
 def faults_of(schedule: str, seed: int, sites: dict[str, str], seconds: float) -> list[Any]:
-    from softswitch.standin.faults.schedule import BadSchedule, drawn, read
+    from softswitch.standin.faults.schedule import ScheduleError, generate_schedule, read_schedule
 
     if not schedule:
-        return drawn(seed, list(sites), sites, seconds)
+        return generate_schedule(seed, list(sites), sites, seconds)
     try:
-        faults = read(schedule, sites)
-    except BadSchedule as e:
+        faults = read_schedule(schedule, sites)
+    except ScheduleError as e:
         bad(e)
     late = [f for f in faults if f.at_s >= seconds]
     if late:
@@ -352,12 +352,12 @@
     gone.
     """
     from softswitch.standin.faults.fleet_simulation import play
-    from softswitch.standin.faults.schedule import DISKS
+    from softswitch.standin.faults.schedule import DISK_FAULTS
 
     names = {f"n{n}": "abcdefghijklmnopqrstuvwxyz"[n % sites] for n in range(members)}
     faults = faults_of(schedule, seed, names, seconds)
     for fault in faults:
-        if fault.what in (*DISKS, "flood"):
+        if fault.what in (*DISK_FAULTS, "flood"):
             bad(f"{schedule}: {fault.what!r} needs processes: play it by `softswitch fleet drill`")
     o = play(members, sites, seconds, seed, faults, lose=lose, starved=starved)
     told = {
--- a/softswitch/standin/faults/budget_simulation.py
+++ b/softswitch/standin/faults/budget_simulation.py
@@ -21,7 +21,7 @@
 from softswitch.budgets.plan import Plan
 from softswitch.budgets.spending import Spending
 from softswitch.standin.faults.links import Links, On
-from softswitch.standin.faults.schedule import Fault, selected
+from softswitch.standin.faults.schedule import Fault, select_members
 
 ENCODER = msgspec.msgpack.Encoder()
 LATE, LATEST = 0.01, 6_000.0  # share of messages that are held up somewhere, and for how long at most, ms
@@ -270,7 +270,7 @@
 
     def _begin(self, fault: Fault) -> None:
         self.log.append((self.now, f"{fault.what} {' '.join(fault.who)}"))
-        for name in selected(fault.who, self.sites):
+        for name in select_members(fault.who, self.sites):
             node = self.nodes[name]
             if fault.what in ("kill", "restart", "leave") and node.up:
                 if fault.what != "kill" and node.stopped_until <= self.now:
--- a/softswitch/standin/faults/drill.py
+++ b/softswitch/standin/faults/drill.py
@@ -31,7 +31,7 @@
 from softswitch.standin.faults.audit import Audit
 from softswitch.standin.faults.links import Links
 from softswitch.standin.faults.relay import CHECK, Relay
-from softswitch.standin.faults.schedule import Fault, selected
+from softswitch.standin.faults.schedule import Fault, select_members
 from softswitch.standin.fleet import ClassSettings, Day, Fleet
 from softswitch.standin.http_query import Query, if_ok
 from softswitch.standin.traffic import StreamSettings
@@ -305,7 +305,7 @@
         event = Event(fault, self.now())
         self.events.append(event)
         on = self.links.begin(self.now() * 1000, fault)
-        members = [self.names.index(name) for name in selected(fault.who, self.sites)]
+        members = [self.names.index(name) for name in select_members(fault.who, self.sites)]
         for n in members:
             self._do(n, fault)
         if fault.what == "flood":
@@ -505,7 +505,7 @@
             if agreed and e.settled is None and e.ended is not None and now > e.ended + LOOK:
                 e.settled = round(now - e.ended, 2)
             if e.fault.what in ("kill", "leave", "restart") and e.known is None and now > e.began + LOOK:
-                dead = set(selected(e.fault.who, self.sites))
+                dead = set(select_members(e.fault.who, self.sites))
                 running = [
                     n
                     for n in self.views
--- a/softswitch/standin/faults/fleet_simulation.py
+++ b/softswitch/standin/faults/fleet_simulation.py
@@ -19,7 +19,7 @@
 from softswitch.fleet.member import Exchange, Member, MemberChanged, Notice, Periods, Send
 from softswitch.fleet.messages import ENDED, ID_BITS, Record, State
 from softswitch.standin.faults.links import Links, On
-from softswitch.standin.faults.schedule import Fault, selected
+from softswitch.standin.faults.schedule import Fault, select_members
 
 STARVED_FOR = (150.0, 900.0)  # ms that a starved process sleeps between two looks at what came
 ENCODER = msgspec.msgpack.Encoder()
@@ -269,7 +269,7 @@
     # faults
 
     def _begin(self, fault: Fault) -> None:
-        who = selected(fault.who, self.sites)
+        who = select_members(fault.who, self.sites)
         self.log.append((self.now, f"{fault.what} {' '.join(fault.who)}"))
         for name in who:
             node = self.nodes[name]
@@ -397,7 +397,7 @@
                 settle[e] = round(now - e, 2)
         for f in deaths:
             if f.at_s < now and f.at_s not in know:
-                dead = set(selected(f.who, world.sites))
+                dead = set(select_members(f.who, world.sites))
                 if all(
                     n.member is None
                     or all(
--- a/softswitch/standin/faults/links.py
+++ b/softswitch/standin/faults/links.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from softswitch.standin.faults.schedule import LINKS, Fault, selected
+from softswitch.standin.faults.schedule import LINK_FAULTS, Fault, select_members
 
 RECENTLY = 15_000.0  # ms after a fault in which those that it touched may still be accused for it
 
@@ -47,11 +47,11 @@
 
     def begin(self, now: float, fault: Fault) -> On | None:
         """A fault of a schedule is due. What is given back is to be ended when its time is over."""
-        who = selected(fault.who, self.sites)
-        if fault.what not in LINKS:
+        who = select_members(fault.who, self.sites)
+        if fault.what not in LINK_FAULTS:
             self.touch(now, who)
             return None
-        other = selected(fault.other, self.sites, who)
+        other = select_members(fault.other, self.sites, who)
         made = On(fault, frozenset(who), frozenset(other))
         self.on.append(made)
         if fault.what.startswith("cut"):
--- a/softswitch/standin/faults/schedule.py
+++ b/softswitch/standin/faults/schedule.py
@@ -16,8 +16,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-LINKS = ("cut", "cut one way", "slow", "lose", "double", "reorder", "spoil", "limit")
-DISKS = ("disk full", "disk read-only", "disk slow")
+LINK_FAULTS = ("cut", "cut one way", "slow", "lose", "double", "reorder", "spoil", "limit")
+DISK_FAULTS = ("disk full", "disk read-only", "disk slow")
 What = Literal[
     "cut",
     "cut one way",
@@ -71,11 +71,11 @@
         return self.at_s + self.for_s if self.for_s else None
 
 
-class BadSchedule(Exception):
+class ScheduleError(Exception):
     """A schedule that can't be played; the text names the fault and what is wrong."""
 
 
-def selected(who: Sequence[str], sites: dict[str, str], but: Sequence[str] = ()) -> list[str]:
+def select_members(who: Sequence[str], sites: dict[str, str], but: Sequence[str] = ()) -> list[str]:
     """The members that a selection names; `sites`: site by member."""
     found: dict[str, None] = {}
     for word in who:
@@ -87,42 +87,42 @@
             inside = [n for n, site in sites.items() if site == word[5:]]
             if not inside:
                 there = ", ".join(sorted(set(sites.values())))
-                raise BadSchedule(f"no member in {word!r}; there are sites {there}")
+                raise ScheduleError(f"no member in {word!r}; there are sites {there}")
             found |= dict.fromkeys(inside)
         elif word in sites:
             found[word] = None
         else:
-            raise BadSchedule(f"{word!r} is no member, `site:NAME`, `rest` or `all`")
+            raise ScheduleError(f"{word!r} is no member, `site:NAME`, `rest` or `all`")
     return list(found)
 
 
-def read(path: str | Path, sites: dict[str, str]) -> list[Fault]:
-    """A schedule from a JSON file; BadSchedule with one plain line if it can't be played with these
+def read_schedule(path: str | Path, sites: dict[str, str]) -> list[Fault]:
+    """A schedule from a JSON file; ScheduleError with one plain line if it can't be played with these
     members.
     """
     try:
         data = Path(path).read_bytes()
     except OSError as e:
-        raise BadSchedule(f"{path}: can't be read: {e.strerror}") from None
-    return of_json(data, str(path), sites)
+        raise ScheduleError(f"{path}: can't be read: {e.strerror}") from None
+    return parse_schedule(data, str(path), sites)
 
 
-def of_json(data: bytes, name: str, sites: dict[str, str]) -> list[Fault]:
+def parse_schedule(data: bytes, name: str, sites: dict[str, str]) -> list[Fault]:
     try:
         faults = msgspec.json.decode(data, type=list[Fault])
     except (msgspec.DecodeError, msgspec.ValidationError, ValueError) as e:
-        raise BadSchedule(f"{name}: {e}") from None
+        raise ScheduleError(f"{name}: {e}") from None
     for n, fault in enumerate(faults):
         try:
-            who = selected(fault.who, sites)
-            if fault.what in LINKS:
-                selected(fault.other, sites, who)
-        except BadSchedule as e:
-            raise BadSchedule(f"{name}: fault {n + 1} ({fault.what} at {fault.at_s:g} s): {e}") from None
+            who = select_members(fault.who, sites)
+            if fault.what in LINK_FAULTS:
+                select_members(fault.other, sites, who)
+        except ScheduleError as e:
+            raise ScheduleError(f"{name}: fault {n + 1} ({fault.what} at {fault.at_s:g} s): {e}") from None
     return sorted(faults, key=lambda f: f.at_s)
 
 
-def drawn(
+def generate_schedule(
     seed: int, names: Sequence[str], sites: dict[str, str], seconds: float, calm: float = 12.0
 ) -> list[Fault]:
     """A schedule of one to five faults that may overlap; all are over `calm` seconds before the end."""
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -26,7 +26,13 @@
 )
 from softswitch.fleet.size import FleetSize
 from softswitch.standin.faults.fleet_simulation import World, play
-from softswitch.standin.faults.schedule import BadSchedule, Fault, drawn, of_json, selected
+from softswitch.standin.faults.schedule import (
+    Fault,
+    ScheduleError,
+    generate_schedule,
+    parse_schedule,
+    select_members,
+)
 from softswitch.storage.snapshot import OsFileOperations, Snapshot, SnapshotError
 
 
@@ -279,7 +285,7 @@
         rng = random.Random(seed)
         n, places = rng.randint(3, 14), rng.randint(1, 4)
         sites = {f"n{k}": "abcd"[k % places] for k in range(n)}
-        o = play(n, places, 40.0, seed, drawn(seed, list(sites), sites, 40.0))
+        o = play(n, places, 40.0, seed, generate_schedule(seed, list(sites), sites, 40.0))
         assert o.settled and not o.broken and not o.false_gone and not o.planned_gone, (seed, o)
 
 
@@ -296,7 +302,7 @@
     rng = random.Random(seed)
     n, places = rng.randint(3, 14), rng.randint(1, 4)
     sites = {f"n{k}": "abcd"[k % places] for k in range(n)}
-    faults = drawn(seed, list(sites), sites, 40.0)
+    faults = generate_schedule(seed, list(sites), sites, 40.0)
     lose, starved = rng.choice((0.0, 0.0, 0.0, 0.1)), rng.choice((0.0, 0.0, 0.0, 0.2))
     o = play(n, places, 40.0, seed, faults, lose=lose, starved=starved)
     assert o.settled and not o.broken and not o.false_gone and not o.planned_gone, (seed, o)
@@ -306,7 +312,7 @@
     sites = {f"n{k}": "ab"[k % 2] for k in range(8)}
     runs = []
     for _ in range(2):
-        world = World(8, 2, 5, drawn(5, list(sites), sites, 30.0))
+        world = World(8, 2, 5, generate_schedule(5, list(sites), sites, 30.0))
         world.run(30_000)
         runs.append(
             (world.events, world.log, [n.member.table.digest for n in world.nodes.values() if n.member])
@@ -376,7 +382,9 @@
     def wrong():
         return any(
             not o.settled or o.broken or o.false_gone
-            for o in (play(9, 2, 40.0, seed, drawn(seed, list(sites), sites, 40.0)) for seed in range(8))
+            for o in (
+                play(9, 2, 40.0, seed, generate_schedule(seed, list(sites), sites, 40.0)) for seed in range(8)
+            )
         )
 
     with monkeypatch.context() as patch:
@@ -415,17 +423,17 @@
     ],
 )
 def test_an_invalid_schedule_is_rejected_with_the_reason(text, why):
-    with pytest.raises(BadSchedule) as caught:
-        of_json(text.encode(), "s.json", {"n0": "a", "n1": "b"})
+    with pytest.raises(ScheduleError) as caught:
+        parse_schedule(text.encode(), "s.json", {"n0": "a", "n1": "b"})
     assert "s.json: " in str(caught.value)
     assert why in str(caught.value)
 
 
 def test_selections():
     sites = {"n0": "a", "n1": "b", "n2": "a"}
-    assert selected(("site:a",), sites) == ["n0", "n2"]
-    assert selected(("rest",), sites, ["n0", "n2"]) == ["n1"]
-    assert selected(("n1", "all"), sites) == ["n1", "n0", "n2"]
+    assert select_members(("site:a",), sites) == ["n0", "n2"]
+    assert select_members(("rest",), sites, ["n0", "n2"]) == ["n1"]
+    assert select_members(("n1", "all"), sites) == ["n1", "n0", "n2"]
 
 
 # snapshot
