--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -23,7 +23,12 @@
 from softswitch.budgets.messages import NO_EPOCH, Promise
 from softswitch.budgets.plan import Budget, Plan
 from softswitch.budgets.sliding_window import SlidingWindow
-from softswitch.standin.faults.budget_simulation import BudgetWorld, address_of, even, play
+from softswitch.standin.faults.budget_simulation import (
+    BudgetSimulation,
+    address_of,
+    run_simulation,
+    uniform_demand,
+)
 from softswitch.standin.faults.schedule import generate_schedule
 
 SECONDS, STEPS = 40.0, 600  # of a drawn schedule; of a way through the model
@@ -48,15 +53,24 @@
     sites = {name: "abcd"[k % places] for k, name in enumerate(names)}
     faults = generate_schedule(seed, names, sites, SECONDS)
     made = small(n, rng.choice((1, 3, 5)), rng.choice((0.0, 0.01, 0.05)))
-    load = rng.choice((even(2.0), even(12.0), even(40.0), hot(n, 3_000.0), hot(n, 7_000.0)))
+    load = rng.choice(
+        (uniform_demand(2.0), uniform_demand(12.0), uniform_demand(40.0), hot(n, 3_000.0), hot(n, 7_000.0))
+    )
     more = {"demand": load, "lose": rng.choice((0.0, 0.0, 0.1)), "late": rng.choice((0.01, 0.01, 0.3))} | more
-    o = play(made, n, places, SECONDS, seed, faults, **more)
+    o = run_simulation(made, n, places, SECONDS, seed, faults, **more)
     # Where three in ten messages come seconds late, a lease may lapse at any time. Where one in ten is lost,
     # an office may have lapsed just as the play ends: another is there within 5 s.
     settled = o.settled or more["late"] > 0.1
     if not settled and more["lose"]:
-        settled = play(made, n, places, SECONDS + 5.0, seed, faults, **more).settled
-    return seed, o.broken or ("" if settled else "not settled"), o.events, o.over, o.offices, o.lapses
+        settled = run_simulation(made, n, places, SECONDS + 5.0, seed, faults, **more).settled
+    return (
+        seed,
+        o.violation or ("" if settled else "not settled"),
+        o.events,
+        o.steps_over_total,
+        o.elections,
+        o.lapses,
+    )
 
 
 def drawn_runs(first, last):
@@ -413,11 +427,11 @@
         mine = share if node == f"n{first}" else (1 - share) / (members - 1)
         return rate * load * mine
 
-    world = BudgetWorld(made, members, 3, seed, (), demand=demand, make=make, late=0.0)
+    world = BudgetSimulation(made, members, 3, seed, (), demand=demand, make=make, late=0.0)
     world.run(warm * 1000)
-    before = world.spent["quotes"].spent
+    before = world.usage["quotes"].spent
     world.run(seconds * 1000)
-    return (world.spent["quotes"].spent - before) / (seconds - warm) / rate
+    return (world.usage["quotes"].spent - before) / (seconds - warm) / rate
 
 
 def use():
@@ -443,7 +457,7 @@
         at = tuple(address_of(k) for k in range(n))
         two = (Budget("quotes", "set-ups", 20 * n, 1, 1000.0), Budget("again", "repeats", 2 * n, 0, 5000.0))
         made = Plan(two, at, at[:5])
-        world = BudgetWorld(made, n, 4, 1, (), demand=even(2.0), late=0.0)
+        world = BudgetSimulation(made, n, 4, 1, (), demand=uniform_demand(2.0), late=0.0)
         world._check = lambda: None  # the sum over all at each step is the checker's cost, not the code's
         world.run(12_000)
         nodes = list(world.nodes.values())
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -19,7 +19,7 @@
 from softswitch.fleet.member import Member, Send
 from softswitch.fleet.member_table import MemberTable
 from softswitch.fleet.messages import Ping, State
-from softswitch.standin.faults.fleet_simulation import World, play
+from softswitch.standin.faults.fleet_simulation import FleetSimulation, run_simulation
 from softswitch.standin.faults.schedule import Fault, generate_schedule
 
 
@@ -32,8 +32,8 @@
     faults = generate_schedule(seed, names, sites, 40.0)
     # One in four runs has lost datagrams all the while, one in four members short of processor.
     lose, starved = rng.choice((0.0, 0.0, 0.0, 0.1)), rng.choice((0.0, 0.0, 0.0, 0.2))
-    o = play(n, places, 40.0, seed, faults, make=make, lose=lose, starved=starved)
-    wrong = o.broken or ("" if o.settled else "not settled")
+    o = run_simulation(n, places, 40.0, seed, faults, make=make, lose=lose, starved=starved)
+    wrong = o.violation or ("" if o.settled else "not settled")
     wrong = wrong or (f"{o.false_gone} falsely gone" if o.false_gone else "")
     wrong = wrong or (f"{o.planned_gone} planned stops called gone" if o.planned_gone else "")
     lossy = lose or starved or any(f.what in ("lose", "spoil", "slow", "reorder") for f in faults)
@@ -246,9 +246,9 @@
         seconds = 40.0
         faults = [Fault(at_s=20.0, what="kill", who=(f"n{n // 2}",))]
         began = time.process_time()
-        o = play(n, 4, seconds, 1, faults)
+        o = run_simulation(n, 4, seconds, 1, faults)
         cpu = time.process_time() - began
-        quiet = World(n, 4, 2)
+        quiet = FleetSimulation(n, 4, 2)
         quiet.run(12_000)
         base = [(v.bytes_out, v.messages) for v in quiet.nodes.values()]
         quiet.run(32_000)
@@ -257,7 +257,7 @@
             {
                 "members": n,
                 "start_s": o.settle_s[0] if o.settle_s else None,
-                "crash_known_s": o.know_s,
+                "crash_known_s": o.detect_s,
                 "bytes_s": round(sent / 20 / n, 1),
                 "cpu_ms_s": round(1000 * cpu / seconds / n, 3),
                 "false_gone": o.false_gone,
@@ -320,7 +320,7 @@
         for name, make in ways:
             false, sent = 0, 0.0
             for seed in seeds:
-                o = play(members, 4, seconds, seed, (), make=make, starved=0.05, lose=lose)
+                o = run_simulation(members, 4, seconds, seed, (), make=make, starved=0.05, lose=lose)
                 false, sent = false + o.false_gone, sent + o.bytes_s / len(seeds)
             line.append(f"{name}: {false} gone, {sent:.0f} B/s")
         print("; ".join(line), flush=True)
--- a/softswitch/cli/fleet.py
+++ b/softswitch/cli/fleet.py
@@ -351,7 +351,7 @@
     """The same code on virtual time. Exit 0 only if all settled, no rule broke and nobody was falsely called
     gone.
     """
-    from softswitch.standin.faults.fleet_simulation import play
+    from softswitch.standin.faults.fleet_simulation import run_simulation
     from softswitch.standin.faults.schedule import DISK_FAULTS
 
     names = {f"n{n}": "abcdefghijklmnopqrstuvwxyz"[n % sites] for n in range(members)}
@@ -359,19 +359,19 @@
     for fault in faults:
         if fault.what in (*DISK_FAULTS, "flood"):
             bad(f"{schedule}: {fault.what!r} needs processes: play it by `softswitch fleet drill`")
-    o = play(members, sites, seconds, seed, faults, lose=lose, starved=starved)
+    o = run_simulation(members, sites, seconds, seed, faults, lose=lose, starved=starved)
     told = {
         "members": members,
         "seconds": seconds,
         "seed": seed,
         "settled": o.settled,
         "settle_s": o.settle_s,
-        "known_s": o.know_s,
+        "known_s": o.detect_s,
         "false_gone": o.false_gone,
         "falsely_suspected": o.false_suspect,
         "bytes_s": round(o.bytes_s, 1),
         "messages_s": round(o.messages_s, 2),
-        "broken": o.broken,
+        "broken": o.violation,
     }
     if as_json:
         print(orjson.dumps(told).decode())
@@ -380,6 +380,6 @@
         for key, value in told.items():
             table.add_row(key, str(value))
         Console().print(table)
-    if o.broken:
-        print(f"willowhitch: a rule broke: {o.broken}", file=sys.stderr)
-    raise typer.Exit(0 if o.settled and not o.broken and not o.false_gone else 1)
+    if o.violation:
+        print(f"willowhitch: a rule broke: {o.violation}", file=sys.stderr)
+    raise typer.Exit(0 if o.settled and not o.violation and not o.false_gone else 1)
--- a/softswitch/standin/faults/budget_simulation.py
+++ b/softswitch/standin/faults/budget_simulation.py
@@ -30,14 +30,14 @@
 EPSILON = 1e-6  # ms; of rounding in the clocks
 
 
-class Broken(Exception):
+class InvariantViolationError(Exception):
     """A rule that must hold at each step did not; the text says which, who and when."""
 
 
 class Clock:
     """A member's clock: ms, of an origin of its own, running apart from true time by up to `drift`."""
 
-    def __init__(self, world: BudgetWorld, rate: float, start: float) -> None:
+    def __init__(self, world: BudgetSimulation, rate: float, start: float) -> None:
         self.world, self.rate, self.told, self.since = world, rate, start, world.now
 
     def __call__(self) -> float:
@@ -70,36 +70,36 @@
 
 
 @dataclass(slots=True)
-class Spent:
+class BudgetUsage:
     """What a run showed of one budget."""
 
-    wanted: int = 0
+    requested: int = 0
     spent: int = 0
-    most: int = 0  # in any window
-    most_held: int = 0
+    max_spent: int = 0  # in any window
+    max_held: int = 0
 
 
 @dataclass(slots=True)
 class Outcome:
     settled: bool
-    broken: str
+    violation: str
     events: int
-    spent: dict[str, Spent]
-    offices: int
+    usage: dict[str, BudgetUsage]
+    elections: int
     lapses: int
     bytes_s: float
     messages_s: float
-    over: int = 0  # steps at which a sum was above its whole, where that does not end the run
+    steps_over_total: int = 0  # steps at which a sum was above its whole, where that does not end the run
 
 
 Demand = Callable[[float, str, str], float]  # true time in ms, node, budget -> calls a second
 
 
-def even(rate: float) -> Demand:
+def uniform_demand(rate: float) -> Demand:
     return lambda now, node, budget: rate
 
 
-class BudgetWorld:
+class BudgetSimulation:
     """Members, links, clocks and time."""
 
     def __init__(
@@ -116,25 +116,25 @@
         late: float = LATE,
         lose: float = 0.0,
         plans: Sequence[tuple[float, str, Plan]] = (),
-        look: Callable[[BudgetWorld], None] | None = None,
-        joins: dict[str, float] | None = None,
+        look: Callable[[BudgetSimulation], None] | None = None,
+        join_at: dict[str, float] | None = None,
     ) -> None:
         self.rng, self.now, self.plan, self.make, self.strict = Random(seed), 0.0, plan, make, strict
         self.drift = plan.drift if drift is None else drift
-        self.late, self.lose, self.demand = late, lose, demand or even(5.0)
+        self.late, self.lose, self.demand = late, lose, demand or uniform_demand(5.0)
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.ordered = self.events = self.over = self.lapses = self.offices = 0
+        self.ordered = self.events = self.steps_over_total = self.lapses = self.elections = 0
         names = [f"n{n}" for n in range(members)]
         self.sites = {name: "abcdefghijkl"[n % sites] for n, name in enumerate(names)}
         self.links = Links(self.sites, self.rng)
         self.nodes = {name: Node(name, address_of(n), self._clock(), plan) for n, name in enumerate(names)}
         self.by_address = {n.address: n for n in self.nodes.values()}
-        self.spent = {b.name: Spent() for b in plan.budgets}
+        self.usage = {b.name: BudgetUsage() for b in plan.budgets}
         self.uses: dict[str, deque[float]] = {b.name: deque() for b in plan.budgets}
-        self.wholes = {b.name: b.total for b in plan.budgets}  # that bind now
+        self.totals = {b.name: b.total for b in plan.budgets}  # that bind now
         self.log: list[tuple[float, str]] = []
         for name, node in self.nodes.items():
-            self.at((joins or {}).get(name, self.rng.uniform(0, 300)), self._start, node)
+            self.at((join_at or {}).get(name, self.rng.uniform(0, 300)), self._start, node)
             for b in plan.budgets:
                 self.at(self.rng.uniform(0, 500), self._arrive, node, b.name)
         for fault in faults:
@@ -212,8 +212,8 @@
 
     def _call(self, node: Node, name: str) -> None:
         assert node.spending is not None
-        told = self.spent[name]
-        told.wanted += 1
+        told = self.usage[name]
+        told.requested += 1
         klass = node.plan.by_name[name].call_class if name in node.plan.by_name else ""
         if name in node.plan.by_name and not node.spending.admit(klass, 1.0):
             told.spent += 1
@@ -237,7 +237,7 @@
             elif isinstance(act, Notice):
                 self.log.append((self.now, f"{node.name}: {act.kind.value}: {act.details}"))
                 self.lapses += act.kind is NoticeKind.AT_THE_FLOOR
-                self.offices += act.kind is NoticeKind.ELECTED
+                self.elections += act.kind is NoticeKind.ELECTED
 
     def _send(self, src: Node, act: SendMessage) -> None:
         src.bytes_out += len(ENCODER.encode(act.message)) + 60
@@ -317,17 +317,19 @@
             if n.up and n.client.votes and n.client.allocator.is_leader(n.clock())
         ]
         if len(in_office) > 1:
-            raise Broken(f"{self.now:.0f} ms: {' and '.join(in_office)} are in office at once")
+            raise InvariantViolationError(
+                f"{self.now:.0f} ms: {' and '.join(in_office)} are in office at once"
+            )
         for b in self.plan.budgets:
-            held, whole, told = self.held(b.name), self.wholes[b.name], self.spent[b.name]
+            held, whole, told = self.held(b.name), self.totals[b.name], self.usage[b.name]
             uses = self.uses[b.name]
             while uses and uses[0] <= self.now - b.window + EPSILON:
                 uses.popleft()
-            told.most, told.most_held = max(told.most, len(uses)), max(told.most_held, held)
+            told.max_spent, told.max_held = max(told.max_spent, len(uses)), max(told.max_held, held)
             if held > whole or len(uses) > whole:
-                self.over += 1
+                self.steps_over_total += 1
                 if self.strict:
-                    raise Broken(
+                    raise InvariantViolationError(
                         f"{self.now:.0f} ms: {b.name}: {held} slots held, {len(uses)} used in "
                         f"{b.window:.0f} ms, the whole is {whole}"
                     )
@@ -349,25 +351,25 @@
     return f"10.0.{n >> 8}.{n & 255}:7946"
 
 
-def play(
+def run_simulation(
     plan: Plan, members: int, sites: int, seconds: float, seed: int, faults: Sequence[Fault], **more: Any
 ) -> Outcome:
     """One run, with what the checker saw."""
-    world = BudgetWorld(plan, members, sites, seed, faults, **more)
-    broken = ""
+    world = BudgetSimulation(plan, members, sites, seed, faults, **more)
+    violation = ""
     try:
         world.run(seconds * 1000)
-    except Broken as e:
-        broken = str(e)
+    except InvariantViolationError as e:
+        violation = str(e)
     nodes = world.nodes.values()
     return Outcome(
-        not broken and world.settled(),
-        broken,
+        not violation and world.settled(),
+        violation,
         world.events,
-        world.spent,
-        world.offices,
+        world.usage,
+        world.elections,
         world.lapses,
         sum(n.bytes_out for n in nodes) / seconds / members,
         sum(n.messages for n in nodes) / seconds / members,
-        world.over,
+        world.steps_over_total,
     )
--- a/softswitch/standin/faults/fleet_simulation.py
+++ b/softswitch/standin/faults/fleet_simulation.py
@@ -2,7 +2,7 @@
 checker.
 
 A run is a function of its arguments: same seed, same run. After each step the checker holds what has happened
-to what must never happen (`Broken`).
+to what must never happen (`InvariantViolationError`).
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 ENCODER = msgspec.msgpack.Encoder()
 
 
-class Broken(Exception):
+class InvariantViolationError(Exception):
     """A rule that must hold at each step did not; the text says which, who and when."""
 
 
@@ -59,17 +59,17 @@
     seed: int
     settled: bool
     settle_s: list[float]  # by fault, in order of their ends: from there until all views were equal and true
-    know_s: list[float]  # by fault that ended processes: until the last process knew
+    detect_s: list[float]  # by fault that ended processes: until the last process knew
     false_gone: int
     false_suspect: int
     planned_gone: int  # planned stops that were called gone
     bytes_s: float  # a second and member, sent
     messages_s: float
-    broken: str = ""
+    violation: str = ""
     events: int = 0
 
 
-class World:
+class FleetSimulation:
     """Members, links and time."""
 
     def __init__(
@@ -81,13 +81,13 @@
         periods: Periods | None = None,
         starved: float = 0.0,
         lose: float = 0.0,
-        forget: float = 0.5,
+        empty_disk_ratio: float = 0.5,
         make: Callable[..., Member] = Member,
         delay: tuple[float, float] = (0.2, 1.5),
     ) -> None:
         self.rng, self.seed, self.now = Random(seed), seed, 0.0
         self.periods, self.make, self.delay, self.lose = periods or Periods(), make, delay, lose
-        self.forget = forget  # share of starts that find an empty disk
+        self.empty_disk_ratio = empty_disk_ratio  # share of starts that find an empty disk
         self.nodes = {
             f"n{n}": Node(
                 f"n{n}", f"{'abcdefghijklmnopqrstuvwxyz'[n % sites]}", f"10.0.{n >> 8}.{n & 255}:7000"
@@ -150,7 +150,7 @@
             node.name, node.address, 1, State.JOINING, self.rng.getrandbits(ID_BITS), node.site, "1.0", "c0"
         )
         seeds = [n.address for n in list(self.nodes.values())[:3]]
-        if node.saved and self.rng.random() >= self.forget:  # what its snapshot holds
+        if node.saved and self.rng.random() >= self.empty_disk_ratio:  # what its snapshot holds
             me = msgspec.structs.replace(me, incarnation=node.saved[0] + 1)
             seeds = list(dict.fromkeys((*seeds, *node.saved[1])))
         node.member = self.make("f", me, seeds, self.periods, self.rng.getrandbits(32), self.now)
@@ -325,12 +325,14 @@
             there = {r.name for r in member.known_records() if r.state in (State.ALIVE, State.JOINING)}
             whole = there | {r.name for r in member.known_records() if r.state is not State.LEFT}
             if 2 * len(there) <= len(whole):
-                raise Broken(f"{node.name} at {self.now:.0f} ms: no majority, {record.key} called gone")
+                raise InvariantViolationError(
+                    f"{node.name} at {self.now:.0f} ms: no majority, {record.key} called gone"
+                )
         if record.state is State.GONE and record.boot in self.planned:
             self.planned_gone.add(record.boot)
         before = node.seen.get(record.key)
         if before is not None and (record.incarnation, record.state) < before:
-            raise Broken(
+            raise InvariantViolationError(
                 f"{node.name} at {self.now:.0f} ms: {record.key} went from {before} back to "
                 f"{(record.incarnation, int(record.state))}"
             )
@@ -341,12 +343,14 @@
         if member is None:
             return
         if member.me.incarnation < node.incarnation:
-            raise Broken(
+            raise InvariantViolationError(
                 f"{node.name} at {self.now:.0f} ms: its own incarnation fell to {member.me.incarnation}"
             )
         node.incarnation = member.me.incarnation
         if member.table.records.get(member.me.key) is not member.me:
-            raise Broken(f"{node.name} at {self.now:.0f} ms: it holds another record of itself than its own")
+            raise InvariantViolationError(
+                f"{node.name} at {self.now:.0f} ms: it holds another record of itself than its own"
+            )
         life = (member.me.key, member.me.incarnation, member.me.boot)
         if (
             member.me.state in (State.ALIVE, State.JOINING)
@@ -356,7 +360,9 @@
             # Told of its end it must begin a life anew; until it hears of it, it can't know.
             ended = member.table.records[member.me.key].state in ENDED
             if ended:
-                raise Broken(f"{node.name} at {self.now:.0f} ms: a life that ended came back")
+                raise InvariantViolationError(
+                    f"{node.name} at {self.now:.0f} ms: a life that ended came back"
+                )
 
     def running(self) -> list[Node]:
         return [n for n in self.nodes.values() if n.up and n.stopped_until <= self.now]
@@ -379,11 +385,11 @@
         return up <= {r.name for r in records.values()}
 
 
-def play(
+def run_simulation(
     members: int, sites: int, seconds: float, seed: int, faults: Sequence[Fault], **more: Any
 ) -> Outcome:
     """One run, with what the checker saw."""
-    world = World(members, sites, seed, faults, **more)
+    world = FleetSimulation(members, sites, seed, faults, **more)
     ends = sorted({f.ends_s if f.ends_s is not None else f.at_s for f in faults} | {0.0})
     settle: dict[float, float] = {}
     know: dict[float, float] = {}
@@ -409,17 +415,17 @@
                 ):
                     know[f.at_s] = round(now - f.at_s, 2)
 
-    broken = ""
+    violation = ""
     try:
         world.run(seconds * 1000, each)
-    except Broken as e:
-        broken = str(e)
+    except InvariantViolationError as e:
+        violation = str(e)
     nodes = world.nodes.values()
     return Outcome(
         members,
         seconds,
         seed,
-        not broken and all(e in settle for e in ends if e <= seconds),
+        not violation and all(e in settle for e in ends if e <= seconds),
         [settle[e] for e in ends if e in settle],
         [know[f.at_s] for f in deaths if f.at_s in know],
         len(world.false_gone),
@@ -427,6 +433,6 @@
         len(world.planned_gone),
         sum(n.bytes_out for n in nodes) / seconds / members,
         sum(n.messages for n in nodes) / seconds / members,
-        broken,
+        violation,
         world.events,
     )
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -30,7 +30,12 @@
 from softswitch.budgets.sliding_window import CELLS, SlidingWindow
 from softswitch.budgets.spending import Spending
 from softswitch.net.budgets import FloorFraction
-from softswitch.standin.faults.budget_simulation import BudgetWorld, address_of, even, play
+from softswitch.standin.faults.budget_simulation import (
+    BudgetSimulation,
+    address_of,
+    run_simulation,
+    uniform_demand,
+)
 from softswitch.standin.faults.schedule import Fault
 
 sys.path.insert(0, str(ROOT / "benchmarks"))
@@ -165,19 +170,19 @@
         Fault(at_s=3.0, what="kill", who=("n1",), for_s=2.0),
         Fault(at_s=8.0, what="lose", who=("all",), other=("all",), share=0.2, for_s=4.0),
     ]
-    ran = [play(plan(), 6, 2, 20.0, 7, faults) for _ in range(2)]
+    ran = [run_simulation(plan(), 6, 2, 20.0, 7, faults) for _ in range(2)]
     assert ran[0] == ran[1]
     assert ran[0].settled
-    assert not ran[0].broken
+    assert not ran[0].violation
 
 
 def test_division_by_the_number_of_visible_members_exceeds_the_total_in_a_partition():
     faults = [Fault(at_s=6.0, what="cut", who=("site:a",), for_s=10.0)]
-    over = play(plan(), 6, 2, 20.0, 1, faults, make=bench.Counted, strict=False).over
-    kept = play(plan(), 6, 2, 20.0, 1, faults, demand=even(20.0))
+    over = run_simulation(plan(), 6, 2, 20.0, 1, faults, make=bench.Counted, strict=False).steps_over_total
+    kept = run_simulation(plan(), 6, 2, 20.0, 1, faults, demand=uniform_demand(20.0))
     assert over > 0
-    assert not kept.broken
-    assert kept.spent["quotes"].most <= 60
+    assert not kept.violation
+    assert kept.usage["quotes"].max_spent <= 60
 
 
 @pytest.mark.parametrize(
@@ -206,7 +211,7 @@
         return 40.0 if node == ("n4" if now < 20_000 else "n5") else 1.0
 
     faults = [Fault(at_s=30.0, what="cut", who=("n5",), for_s=10.0)]
-    world = BudgetWorld(plan(), 6, 2, 3, faults, demand=demand)
+    world = BudgetSimulation(plan(), 6, 2, 3, faults, demand=demand)
     world.run(19_000)
     assert held(world)["n4"] > 30
     world.run(29_000)
@@ -220,14 +225,14 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_a_new_member_gets_slots_soon_and_slots_of_a_dead_member_are_reused(seed):
-    world = BudgetWorld(
+    world = BudgetSimulation(
         plan(members=12),
         8,
         2,
         seed,
         [Fault(at_s=20.0, what="kill", who=("n5",))],
         demand=lambda now, node, budget: 20.0 if node in ("n5", "n7") else 2.0,
-        joins={"n7": 12_000.0},
+        join_at={"n7": 12_000.0},
     )
     # Its need is visible after about 1 s. Others get smaller grants within a renewal interval, the slots that
     # they give up cool down for a window, and it requests again each RENEW_SOON.
@@ -240,25 +245,25 @@
 
 def test_a_total_lowered_in_one_file_applies_to_all_within_a_lease():
     lower = plan(whole=30)
-    world = BudgetWorld(plan(), 6, 2, 3, demand=even(20.0), plans=[(10_000.0, "n4", lower)])
+    world = BudgetSimulation(plan(), 6, 2, 3, demand=uniform_demand(20.0), plans=[(10_000.0, "n4", lower)])
     world.run(10_000)
     assert world.held("quotes") > 50
     world.run(10_000 + plan().lease_bound)
-    world.wholes["quotes"] = 30
+    world.totals["quotes"] = 30
     world.run(25_000)
     assert 20 < world.held("quotes") <= 30
     assert any("total lowered" in said for _, said in world.log)
 
 
 def test_an_allocator_that_leaves_is_replaced_before_any_lease_expires():
-    world = BudgetWorld(plan(), 6, 2, 3, demand=even(20.0))
+    world = BudgetSimulation(plan(), 6, 2, 3, demand=uniform_demand(20.0))
     world.run(11_900)
     first = next(n.name for n in world.nodes.values() if n.client.allocator.is_leader(n.clock()))
     faults = [Fault(at_s=12.0, what="leave", who=(first,))]
-    world = BudgetWorld(plan(), 6, 2, 3, faults, demand=even(20.0))
+    world = BudgetSimulation(plan(), 6, 2, 3, faults, demand=uniform_demand(20.0))
     world.run(30_000)
     assert world.settled()
-    assert world.offices >= 2
+    assert world.elections >= 2
     assert world.lapses == 0
 
 
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -25,7 +25,7 @@
     Updates,
 )
 from softswitch.fleet.size import FleetSize
-from softswitch.standin.faults.fleet_simulation import World, play
+from softswitch.standin.faults.fleet_simulation import FleetSimulation, run_simulation
 from softswitch.standin.faults.schedule import (
     Fault,
     ScheduleError,
@@ -285,8 +285,8 @@
         rng = random.Random(seed)
         n, places = rng.randint(3, 14), rng.randint(1, 4)
         sites = {f"n{k}": "abcd"[k % places] for k in range(n)}
-        o = play(n, places, 40.0, seed, generate_schedule(seed, list(sites), sites, 40.0))
-        assert o.settled and not o.broken and not o.false_gone and not o.planned_gone, (seed, o)
+        o = run_simulation(n, places, 40.0, seed, generate_schedule(seed, list(sites), sites, 40.0))
+        assert o.settled and not o.violation and not o.false_gone and not o.planned_gone, (seed, o)
 
 
 @pytest.mark.parametrize("seed", [279, 5741, 6157, 8391])
@@ -304,15 +304,15 @@
     sites = {f"n{k}": "abcd"[k % places] for k in range(n)}
     faults = generate_schedule(seed, list(sites), sites, 40.0)
     lose, starved = rng.choice((0.0, 0.0, 0.0, 0.1)), rng.choice((0.0, 0.0, 0.0, 0.2))
-    o = play(n, places, 40.0, seed, faults, lose=lose, starved=starved)
-    assert o.settled and not o.broken and not o.false_gone and not o.planned_gone, (seed, o)
+    o = run_simulation(n, places, 40.0, seed, faults, lose=lose, starved=starved)
+    assert o.settled and not o.violation and not o.false_gone and not o.planned_gone, (seed, o)
 
 
 def test_a_seed_replays_exactly():
     sites = {f"n{k}": "ab"[k % 2] for k in range(8)}
     runs = []
     for _ in range(2):
-        world = World(8, 2, 5, generate_schedule(5, list(sites), sites, 30.0))
+        world = FleetSimulation(8, 2, 5, generate_schedule(5, list(sites), sites, 30.0))
         world.run(30_000)
         runs.append(
             (world.events, world.log, [n.member.table.digest for n in world.nodes.values() if n.member])
@@ -370,9 +370,9 @@
 def test_hard_cases_settle_without_false_gone_members(name):
     seconds, faults = HARD_CASES[name]
     for seed in (1, 2):
-        o = play(12, 3, seconds, seed, faults, forget=0.0)
-        assert o.settled and not o.broken and o.false_gone == 0, o
-        assert all(known < 5.0 for known in o.know_s), o
+        o = run_simulation(12, 3, seconds, seed, faults, empty_disk_ratio=0.0)
+        assert o.settled and not o.violation and o.false_gone == 0, o
+        assert all(known < 5.0 for known in o.detect_s), o
 
 
 def test_an_injected_fault_is_detected(monkeypatch):
@@ -381,9 +381,10 @@
 
     def wrong():
         return any(
-            not o.settled or o.broken or o.false_gone
+            not o.settled or o.violation or o.false_gone
             for o in (
-                play(9, 2, 40.0, seed, generate_schedule(seed, list(sites), sites, 40.0)) for seed in range(8)
+                run_simulation(9, 2, 40.0, seed, generate_schedule(seed, list(sites), sites, 40.0))
+                for seed in range(8)
             )
         )
 
