--- a/softswitch/cli/fleet.py
+++ b/softswitch/cli/fleet.py
@@ -179,13 +179,13 @@
 
 
 def faults_of(schedule: str, seed: int, sites: dict[str, str], seconds: float) -> list[Any]:
-    from softswitch.standin.faults.schedule import BadSchedule, drawn, read
+    from softswitch.standin.faults.schedule import ScheduleError, generate_schedule, read_schedule
 
     if not schedule:
-        return drawn(seed, list(sites), sites, seconds)
+        return generate_schedule(seed, list(sites), sites, seconds)
     try:
-        faults = read(schedule, sites)
-    except BadSchedule as e:
+        faults = read_schedule(schedule, sites)
+    except ScheduleError as e:
         bad(e)
     late = [f for f in faults if f.at_s >= seconds]
     if late:
@@ -351,27 +351,27 @@
     """The same code on virtual time. Exit 0 only if all settled, no rule broke and nobody was falsely called
     gone.
     """
-    from softswitch.standin.faults.fleet_simulation import play
-    from softswitch.standin.faults.schedule import DISKS
+    from softswitch.standin.faults.fleet_simulation import run_simulation
+    from softswitch.standin.faults.schedule import DISK_FAULTS
 
     names = {f"n{n}": "abcdefghijklmnopqrstuvwxyz"[n % sites] for n in range(members)}
     faults = faults_of(schedule, seed, names, seconds)
     for fault in faults:
-        if fault.what in (*DISKS, "flood"):
+        if fault.what in (*DISK_FAULTS, "flood"):
             bad(f"{schedule}: {fault.what!r} needs processes: play it by `softswitch fleet drill`")
-    o = play(members, sites, seconds, seed, faults, lose=lose, starved=starved)
+    o = run_simulation(members, sites, seconds, seed, faults, lose=lose, starved=starved)
     told = {
         "members": members,
         "seconds": seconds,
         "seed": seed,
         "settled": o.settled,
         "settle_s": o.settle_s,
-        "known_s": o.know_s,
+        "known_s": o.detect_s,
         "false_gone": o.false_gone,
         "falsely_suspected": o.false_suspect,
         "bytes_s": round(o.bytes_s, 1),
         "messages_s": round(o.messages_s, 2),
-        "broken": o.broken,
+        "broken": o.violation,
     }
     if as_json:
         print(orjson.dumps(told).decode())
@@ -380,6 +380,6 @@
         for key, value in told.items():
             table.add_row(key, str(value))
         Console().print(table)
-    if o.broken:
-        print(f"willowhitch: a rule broke: {o.broken}", file=sys.stderr)
-    raise typer.Exit(0 if o.settled and not o.broken and not o.false_gone else 1)
+    if o.violation:
+        print(f"willowhitch: a rule broke: {o.violation}", file=sys.stderr)
+    raise typer.Exit(0 if o.settled and not o.violation and not o.false_gone else 1)
