--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -1,9 +1,10 @@
-"""A running softswitch among stand-ins, and the small language in which the network tests speak to them.
+"""Runs a softswitch process with fake peers, and scenarios in a small language that drive the peers.
 
-A scenario is lines of `PARTY VERB REST`. Parties: c* SIP connections, w* WebSockets, m* operators, e* quote
-engines, b and b2 boards, p the program. Verbs: send, expect (a pattern for its next message, or `nothing
-MS`), close, wait; `p config b2`, or with a text, replaces the configuration and sends SIGHUP.
-Calls are short numbers; `{1}` stands for the id of call 1.
+A scenario consists of lines `PARTY VERB ARGUMENTS`. Parties: c* SIP connections, w* WebSockets, m* management
+connections, e* quote engines, b and b2 endpoint watch servers, p the softswitch process. Verbs: send, expect
+(a pattern for the next message, or `nothing MS`), close, wait. `p config b2` replaces the watch server in
+the configuration, `p config TEXT` the whole file; both send SIGHUP. Calls are short numbers; `{1}` is
+replaced by the id of call 1.
 """
 
 import json
@@ -26,7 +27,7 @@
 from softswitch.standin.addresses import own_host
 from support.settings import INFO
 
-KINDS = {
+MESSAGE_NAMES = {
     1: "SET_UP",
     6: "PROGRESS",
     9: "ANSWER",
@@ -36,10 +37,10 @@
     52: "TEST",
     53: "TESTED",
 }
-CODES = {name: code for code, name in KINDS.items()}
+MESSAGE_TYPES = {name: code for code, name in MESSAGE_NAMES.items()}
 STATES = {"ready": 0, "draining": 1, "gone": 2}
 ROOT = Path(__file__).parents[2]
-PATIENCE = 5.0  # s that an `expect` waits
+TIMEOUT = 5.0  # s for an `expect`
 
 
 def call_id(n):
@@ -57,8 +58,8 @@
     return s
 
 
-def framed(party, data):
-    """Heads and bodies of the messages that are whole by now, SIP's or HTTP's."""
+def complete_messages(party, data):
+    """Yields head and body of each complete SIP or HTTP message in the received data."""
     party.data += data
     while (head := party.data.partition(b"\r\n\r\n"))[1]:
         size = int(re.search(rb"(?i)content-length: *(\d+)", head[0])[1])
@@ -69,38 +70,38 @@
 
 
 class Sip:
-    """One caller's connection."""
+    """The SIP connection of a caller."""
 
     def __init__(self, stage, sock):
         self.sock, self.data, self.received = sock, b"", []
 
     def feed(self, data):
-        for head, body in framed(self, data):
+        for head, body in complete_messages(self, data):
             yield (head + b"||" + body).decode("latin-1").replace("\r\n", "|")
 
     def send(self, words):
-        """`INVITE 1 X-Patience=900 body=..`, `CANCEL 1`, `BYE 1`, `OK 1` (to a BYE), `raw TEXT` (escapes)."""
-        kind, _, rest = words.partition(" ")
-        if kind == "OK":
+        """Sends `INVITE 1 X-Patience=900 body=..`, `CANCEL 1`, `BYE 1`, `OK 1` (to a BYE) or `raw TEXT`."""
+        method, _, rest = words.partition(" ")
+        if method == "OK":
             lines = "SIP/2.0 200 OK", f"Call-ID: {call_id(rest)}", "CSeq: 2 BYE", "Content-Length: 0", "", ""
             return self.sock.sendall("\r\n".join(lines).encode())
-        if kind == "raw":
+        if method == "raw":
             return self.sock.sendall(rest.encode().decode("unicode_escape").encode("latin-1"))
         n, *more = (rest or "0").split(" ")
         fields = dict(m.split("=", 1) for m in more)
         body, number = fields.pop("body", "v=0"), fields.pop("number", "77")
-        head = {"Call-ID": call_id(n), "CSeq": f"1 {kind}", "Via": "SIP/2.0/TCP peer"}
-        if kind == "INVITE":
+        head = {"Call-ID": call_id(n), "CSeq": f"1 {method}", "Via": "SIP/2.0/TCP peer"}
+        if method == "INVITE":
             head |= {"Subject": "x", "X-Patience": "3000", "X-Facts": "dest:0;width:1;via:-1"} | fields
         else:
             body, head = "", head | fields
-        lines = [f"{kind} sip:{number}@net SIP/2.0", *(f"{k}: {v}" for k, v in head.items())]
+        lines = [f"{method} sip:{number}@net SIP/2.0", *(f"{k}: {v}" for k, v in head.items())]
         self.sock.sendall("\r\n".join((*lines, f"Content-Length: {len(body)}", "", body)).encode("latin-1"))
         return None
 
 
-class Desk:
-    """One WebSocket client."""
+class WebSocketClient:
+    """A WebSocket connection to the call-control API."""
 
     def __init__(self, stage, sock, path="/v1/calls", origin=None):
         self.sock, self.received, self.ws, self.text = sock, [], WSConnection(ConnectionType.CLIENT), ""
@@ -121,26 +122,26 @@
                 self.sock.sendall(self.ws.send(event.response()))
 
     def send(self, words):
-        """A message as it stands, with `"v":1` put in and call numbers made ids; `raw TEXT` untouched."""
+        """Sends `DO 1 KEY=JSON ..`, a message for call 1 with default fields, or `raw TEXT`, unchanged."""
         kind, _, rest = words.partition(" ")
         if kind != "raw":
-            said = {"v": 1, "do": kind, "id": call_id(rest.split(" ")[0])}
+            message = {"v": 1, "do": kind, "id": call_id(rest.split(" ")[0])}
             if kind == "place":
-                said |= {"class": "x", "number": "77", "patience_ms": 3000, "dest": 0}
-                said["description_b64"] = "dj0w"
-            said |= {k: json.loads(v) for k, v in (m.split("=", 1) for m in rest.split(" ")[1:])}
-            rest = json.dumps(said)
+                message |= {"class": "x", "number": "77", "patience_ms": 3000, "dest": 0}
+                message["description_b64"] = "dj0w"
+            message |= {k: json.loads(v) for k, v in (m.split("=", 1) for m in rest.split(" ")[1:])}
+            rest = json.dumps(message)
         self.sock.sendall(self.ws.send(TextMessage(data=rest)))
 
 
 class Operator:
-    """One connection to the management address: `GET /v1/readyz`, or `raw TEXT`. Heard as `200 {..}`."""
+    """A connection to the management address. Sends `GET /v1/readyz` or `raw TEXT`, receives `200 - {..}`."""
 
     def __init__(self, stage, sock):
         self.sock, self.received, self.data = sock, [], b""
 
     def feed(self, data):
-        for head, body in framed(self, data):
+        for head, body in complete_messages(self, data):
             allow = re.search(rb"Allow: \w+", head)
             yield b" ".join((head.split()[1], allow[0] if allow else b"-", body)).decode()
 
@@ -153,50 +154,50 @@
 
 
 class Engine:
-    """The connection that a softswitch opened to a quote engine."""
+    """A quote engine's end of a connection that the softswitch opened to it."""
 
     def __init__(self, stage, sock):
         self.sock, self.data, self.received, self.numbers = sock, b"", [], {}
-        self.acknowledged = []  # releases of this engine, by the ids of their calls
+        self.acknowledged = []  # ids of the calls whose releases were acknowledged
         self.send("STATE 0 21=x0:1000;x1:1000")
 
     def feed(self, data):
         self.data += data
         while len(self.data) >= 2 and len(self.data) >= (size := struct.unpack(">H", self.data[:2])[0]) + 2:
             kind, call, rest = self.data[2], self.data[3:11].hex(), self.data[11 : size + 2]
-            self.data, words = self.data[size + 2 :], [KINDS[kind], call]
+            self.data, words = self.data[size + 2 :], [MESSAGE_NAMES[kind], call]
             while rest:
                 code, n = struct.unpack(">BH", rest[:3])
                 value, rest = rest[3 : 3 + n], rest[3 + n :]
                 words.append(f"{code}={value[0] if code == 31 else value.decode('latin-1')}")
-            if kind == CODES["HEARD"]:
+            if kind == MESSAGE_TYPES["HEARD"]:
                 self.acknowledged.append(call)
             else:
                 yield " ".join(words)
 
     def send(self, words):
         kind, n, *more = words.split(" ")
-        said = struct.pack(">B", CODES[kind]) + bytes.fromhex(n if len(n) == 16 else call_id(n))
+        message = struct.pack(">B", MESSAGE_TYPES[kind]) + bytes.fromhex(n if len(n) == 16 else call_id(n))
         for code, value in (m.split("=", 1) for m in more):
             value = bytes((int(value),)) if code == "31" else value.encode("latin-1")
-            said += struct.pack(">BH", int(code), len(value)) + value
-        self.sock.sendall(struct.pack(">H", len(said)) + said)
+            message += struct.pack(">BH", int(code), len(value)) + value
+        self.sock.sendall(struct.pack(">H", len(message)) + message)
 
 
-class Board:
-    """The softswitch's connection to the notice board."""
+class WatchServer:
+    """The watch server's end of a connection that the softswitch opened to it."""
 
     def __init__(self, stage, sock):
-        self.stage, self.sock, self.received, self.data, self.due = stage, sock, [], b"", 0.0
+        self.stage, self.sock, self.received, self.data, self.next_keepalive_at = stage, sock, [], b"", 0.0
 
-    def beat(self):
-        """An empty frame each second, as a board sends it."""
-        if time.monotonic() >= self.due and self.sock.fileno() >= 0:
-            self.due = time.monotonic() + 1.0
+    def send_keepalive(self):
+        """Sends an event without changes once a second, as the watch server does."""
+        if time.monotonic() >= self.next_keepalive_at and self.sock.fileno() >= 0:
+            self.next_keepalive_at = time.monotonic() + 1.0
             try:
                 self.sock.sendall(struct.pack(">IQB", 9, 0, 0))
             except ConnectionError:
-                pass  # it took us for silent and connects anew; its end is read where all ends are
+                pass  # the softswitch has closed this connection and reconnects; `pump` detects the close
 
     def feed(self, data):
         self.data += data
@@ -205,7 +206,7 @@
             self.data = self.data[8:]
 
     def send(self, words):
-        """`REV draining e1`: a change; `raw HEX`."""
+        """Sends `REVISION draining e1`, a change of the endpoint list, or `raw - HEX`, bytes."""
         rev, state, name = words.split(" ")
         if rev == "raw":
             return self.sock.sendall(bytes.fromhex(name))
@@ -228,19 +229,22 @@
 
 
 class Stage:
+    """A softswitch process and its fake peers."""
+
     def __init__(
         self, engines=2, settings=None, control="", config=None, env=None, command=("-m", "softswitch")
     ):
-        # Its own: a program that still dials a port of a stand-in that has closed reaches no other's.
+        # An address for this test only: a softswitch that connects to the port of a closed peer must not
+        # reach a peer of another test.
         self.host = own_host()
         self.listeners = {
             name: listener(self.host) for name in (*(f"e{n}" for n in range(engines)), "b", "b2")
         }
         self.command = command
         self.parties, self.hook, self.dir = {}, None, tempfile.TemporaryDirectory()
-        spare = [listener(self.host) for _ in range(3)]
-        self.sip, self.web, self.mgmt = (s.getsockname() for s in spare)
-        for s in spare:
+        reserved = [listener(self.host) for _ in range(3)]  # to choose free ports
+        self.sip, self.web, self.mgmt = (s.getsockname() for s in reserved)
+        for s in reserved:
             s.close()
         hosts = [
             {
@@ -255,7 +259,7 @@
             }
             for n in range(engines)
         ]
-        made = {
+        document = {
             "name": "n0",
             "listen": format_address(self.sip),
             "seed": "1f",
@@ -265,16 +269,17 @@
             "known": {"rev": 3, "notices": [{"rev": 3, "pool": {"whole": True, "hosts": hosts}}]},
         }
         self.config = Path(self.dir.name, "config.json")
-        self.config_document = made | (config or {})
+        self.config_document = document | (config or {})
         self.config.write_text(json.dumps(self.config_document))
         toml = Path(self.dir.name, "control.toml")
         toml.write_text(f'listen = "{format_address(self.web)}"\n{control}')
         self.log = open(Path(self.dir.name, "log"), "w+")
-        given = os.environ | {"BALANCER_CONFIG": str(self.config), "SOFTSWITCH_CONTROL": str(toml)}
-        self.env = given | (env or {})
+        base_env = os.environ | {"BALANCER_CONFIG": str(self.config), "SOFTSWITCH_CONTROL": str(toml)}
+        self.env = base_env | (env or {})
         self.start()
 
     def start(self, env=None):
+        """Starts a softswitch process, in addition to a running one."""
         self.program = subprocess.Popen(
             [sys.executable, *self.command], cwd=ROOT, env=self.env | (env or {}), stderr=self.log
         )
@@ -289,18 +294,19 @@
         self.program.wait()
         for party in self.parties.values():
             party.sock.close()
-        for door in self.listeners.values():
-            door.close()
+        for sock in self.listeners.values():
+            sock.close()
         self.log.close()
         self.dir.cleanup()
 
     def log_text(self):
+        """The log of the softswitch so far."""
         return Path(self.log.name).read_text()
 
     def party(self, name, **more):
-        """The party of this name; callers connect at their first use."""
+        """The party of this name, or None if it has not connected yet. c*, w* and m* connect on first use."""
         if name not in self.parties and name[0] in "cwm":
-            until = time.monotonic() + PATIENCE
+            until = time.monotonic() + TIMEOUT
             address = {"c": self.sip, "w": self.web, "m": self.mgmt}[name[0]]
             while True:
                 try:
@@ -309,24 +315,26 @@
                 except ConnectionRefusedError:
                     assert time.monotonic() < until and self.program.poll() is None, self.log_text()
                     time.sleep(0.02)
-            kind = {"c": Sip, "w": Desk, "m": Operator}[name[0]]
-            party = self.parties[name] = kind(self, sock, **more)
+            party_class = {"c": Sip, "w": WebSocketClient, "m": Operator}[name[0]]
+            party = self.parties[name] = party_class(self, sock, **more)
             while name[0] == "w" and party.ws.state is ConnectionState.CONNECTING:
                 assert time.monotonic() < until, self.log_text()
                 self.pump(0.1)
         return self.parties.get(name)
 
     def pump(self, seconds):
-        """Takes in what comes within this time, at most one round of it."""
+        """Waits up to this time for data on any socket, and processes it once."""
         for name in {"b", "b2"} & set(self.parties):
-            self.parties[name].beat()
+            self.parties[name].send_keepalive()
         open_ = {p.sock: (name, p) for name, p in self.parties.items() if p.sock.fileno() >= 0}
-        doors = {s: name for name, s in self.listeners.items() if s.fileno() >= 0}
-        ended = {}  # what parties heard to the last whose next connection comes in the same round
-        for sock in select.select([*open_, *doors], [], [], seconds)[0]:
-            if sock in doors:
-                name = doors[sock]
-                self.parties[name] = (Board if name[0] == "b" else Engine)(self, sock.accept()[0])
+        listening = {s: name for name, s in self.listeners.items() if s.fileno() >= 0}
+        # Messages received on connections that end in this round, passed on to a new connection of the same
+        # party.
+        ended = {}
+        for sock in select.select([*open_, *listening], [], [], seconds)[0]:
+            if sock in listening:
+                name = listening[sock]
+                self.parties[name] = (WatchServer if name[0] == "b" else Engine)(self, sock.accept()[0])
                 self.parties[name].received = ended.get(name, [])
                 continue
             name, party = open_[sock]
@@ -345,26 +353,28 @@
                 else:
                     party.received.append(message)
 
-    def next(self, name, seconds=PATIENCE):
+    def next(self, name, seconds=TIMEOUT):
+        """The next message of a party, or None if none is received in time."""
         until = time.monotonic() + seconds
         while not (self.party(name) and self.party(name).received):
-            left = until - time.monotonic()
-            if left <= 0:
+            remaining = until - time.monotonic()
+            if remaining <= 0:
                 return None
-            self.pump(min(left, 0.5))
+            self.pump(min(remaining, 0.5))
         return self.party(name).received.pop(0)
 
     def play(self, scenario):
+        """Runs a scenario; see the module docstring."""
         for line in filter(None, map(str.strip, scenario.splitlines())):
             name, verb, *rest = line.split(" ", 2)
             rest = re.sub(r"\{(\d+)\}", lambda m: call_id(m[1]), rest[0] if rest else "")
             if verb == "wait":
                 until = time.monotonic() + float(rest) / 1000
-                while (left := until - time.monotonic()) > 0:
-                    self.pump(min(left, 0.5))
+                while (remaining := until - time.monotonic()) > 0:
+                    self.pump(min(remaining, 0.5))
             elif verb == "close":
                 self.parties.pop(name).sock.close()
-            elif name == "p" and verb == "config":  # the board's door, or a text that is the whole file
+            elif name == "p" and verb == "config":  # a watch server, or the text of the whole file
                 board = self.listeners.get(rest) and {
                     "board": format_address(self.listeners[rest].getsockname())
                 }
@@ -373,15 +383,17 @@
             elif name == "p" and verb == "send":
                 self.program.send_signal(getattr(signal, rest))
             elif name == "p":
-                assert self.program.wait(PATIENCE) == int(rest), self.log_text()
+                assert self.program.wait(TIMEOUT) == int(rest), self.log_text()
             elif verb == "send":
-                until = time.monotonic() + PATIENCE
+                until = time.monotonic() + TIMEOUT
                 while self.party(name) is None and time.monotonic() < until:
                     self.pump(0.05)
                 self.party(name).send(rest)
             elif rest.startswith("nothing"):
-                came = self.next(name, float(rest.split()[1]) / 1000)
-                assert came is None, f"{line}: {came!r}"
+                message = self.next(name, float(rest.split()[1]) / 1000)
+                assert message is None, f"{line}: {message!r}"
             else:
-                came = self.next(name)
-                assert came is not None and re.search(rest, came), f"{line}: {came!r}\n{self.log_text()}"
+                message = self.next(name)
+                assert message is not None and re.search(rest, message), (
+                    f"{line}: {message!r}\n{self.log_text()}"
+                )
--- a/tests/support/seccomp_filter.py
+++ b/tests/support/seccomp_filter.py
@@ -1,5 +1,7 @@
-"""Runs the program with what the fleet's standing test refuses being refused by the kernel: fork, further
-programs, io_uring, sendfile (ENOSYS), splice (EINVAL), Unix and IPv6 sockets. `python refused.py MODULE`.
+"""Runs a Python module under a seccomp filter, `python seccomp_filter.py MODULE`.
+
+The kernel then rejects what the fleet's standing test rejects: fork, exec, io_uring and sendfile (ENOSYS),
+splice (EINVAL), Unix and IPv6 sockets (EAFNOSUPPORT).
 """
 
 import ctypes
@@ -10,7 +12,7 @@
 import struct
 import sys
 
-NUMBERS = {
+SYSCALLS = {
     "x86_64": {
         "arch": 0xC000003E,
         "clone": 56,
@@ -32,55 +34,56 @@
 PR_SET_NO_NEW_PRIVS, PR_SET_SECCOMP, MODE_FILTER = 38, 22, 2
 
 
-def program():
-    n = NUMBERS[platform.machine()]
-    deny = {number: errno.ENOSYS for number in n["refused"]} | {n["splice"]: errno.EINVAL}
-    steps = [(LOAD, 0, 0, 4), (EQUAL, 1, 0, n["arch"]), (RETURN, 0, 0, ALLOW), (LOAD, 0, 0, 0)]
-    for number, code in deny.items():
-        steps += [(EQUAL, 0, 1, number), (RETURN, 0, 0, ERRNO | code)]
-    steps += [
-        (EQUAL, 0, 4, n["clone"]),
+def filter_program():
+    """The BPF instructions of the filter, packed, and their number."""
+    syscalls = SYSCALLS[platform.machine()]
+    errors = {number: errno.ENOSYS for number in syscalls["refused"]} | {syscalls["splice"]: errno.EINVAL}
+    instructions = [(LOAD, 0, 0, 4), (EQUAL, 1, 0, syscalls["arch"]), (RETURN, 0, 0, ALLOW), (LOAD, 0, 0, 0)]
+    for number, code in errors.items():
+        instructions += [(EQUAL, 0, 1, number), (RETURN, 0, 0, ERRNO | code)]
+    instructions += [
+        (EQUAL, 0, 4, syscalls["clone"]),
         (LOAD, 0, 0, 16),
         (SET, 1, 0, THREAD),
         (RETURN, 0, 0, ERRNO | errno.ENOSYS),
         (RETURN, 0, 0, ALLOW),
     ]
-    steps += [
-        (EQUAL, 0, 4, n["socket"]),
+    instructions += [
+        (EQUAL, 0, 4, syscalls["socket"]),
         (LOAD, 0, 0, 16),
         (EQUAL, 1, 0, UNIX),
         (EQUAL, 0, 1, IPV6),
         (RETURN, 0, 0, ERRNO | errno.EAFNOSUPPORT),
         (RETURN, 0, 0, ALLOW),
     ]
-    return b"".join(struct.pack("HBBI", *step) for step in steps), len(steps)
+    return b"".join(struct.pack("HBBI", *instruction) for instruction in instructions), len(instructions)
 
 
-def refuse():
+def install_filter():
     libc = ctypes.CDLL(None, use_errno=True)
-    code, length = program()
-    kept = ctypes.create_string_buffer(code)
-    head = struct.pack("HxxxxxxP", length, ctypes.addressof(kept))
-    if libc.prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) or libc.prctl(PR_SET_SECCOMP, MODE_FILTER, head):
-        raise OSError(ctypes.get_errno(), "the kernel takes no filter")
+    code, length = filter_program()
+    buffer = ctypes.create_string_buffer(code)  # referenced until prctl has copied the filter
+    sock_fprog = struct.pack("HxxxxxxP", length, ctypes.addressof(buffer))
+    if libc.prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) or libc.prctl(PR_SET_SECCOMP, MODE_FILTER, sock_fprog):
+        raise OSError(ctypes.get_errno(), "the kernel does not accept the filter")
 
 
-def must_fail(what, code):
+def assert_rejected(operation, code):
     try:
-        what()
+        operation()
     except OSError as e:
         assert e.errno == code, e
     else:
-        raise AssertionError("the filter refuses nothing")
+        raise AssertionError("the filter does not reject the operation")
 
 
 if __name__ == "__main__":
     import socket
 
-    refuse()
-    must_fail(os.fork, errno.ENOSYS)
-    must_fail(lambda: os.execv("/bin/true", ["true"]), errno.ENOSYS)
-    must_fail(lambda: socket.socket(socket.AF_UNIX), errno.EAFNOSUPPORT)
+    install_filter()
+    assert_rejected(os.fork, errno.ENOSYS)
+    assert_rejected(lambda: os.execv("/bin/true", ["true"]), errno.ENOSYS)
+    assert_rejected(lambda: socket.socket(socket.AF_UNIX), errno.EAFNOSUPPORT)
     socket.socket(socket.AF_INET).close()
     sys.argv = [sys.argv[1]]
     runpy.run_module(sys.argv[0], run_name="__main__", alter_sys=True)
--- a/tests/test_call_endings.py
+++ b/tests/test_call_endings.py
@@ -685,7 +685,7 @@
         board.sock.sendall(bytes.fromhex(begun))
         board.sock.close()
         s.play("b expect after 3\nb send 4 gone e0\ne0 expect end")
-        s.parties["b"].beat = lambda: None  # from now on it says nothing, and does not close
+        s.parties["b"].send_keepalive = lambda: None  # from now on it says nothing, and does not close
         s.play("b expect end\nb expect after 4\nb send 5 gone e1\ne1 expect end")
 
 
@@ -711,7 +711,7 @@
         silent = []
         s.play("b expect after 3")
         for _ in range(2):
-            s.parties["b"].beat = lambda: None
+            s.parties["b"].send_keepalive = lambda: None
             silent.append(s.parties["b"])
             s.play("b expect end\nb expect after 3")
         s.play("b send 4 gone e0\ne0 expect end")
--- a/tests/test_environment.py
+++ b/tests/test_environment.py
@@ -1,11 +1,11 @@
-"""Environment variables: the current name wins, the deprecated one is read and named once in the log."""
+"""Environment variables: current names take precedence; deprecated names work and are logged once."""
 
 from support.harness import Stage
 
 from softswitch import environment
 
 
-def test_the_current_name_wins_even_if_it_is_empty(monkeypatch):
+def test_the_current_name_takes_precedence_even_if_it_is_empty(monkeypatch):
     monkeypatch.setenv("WILLOWHITCH_LOG", "DEBUG")
     assert environment.variable(environment.LOG_LEVEL, "INFO") == "DEBUG"
     monkeypatch.setenv("SOFTSWITCH_LOG", "")
@@ -19,7 +19,7 @@
     assert environment.without(full, environment.LOG_LEVEL) == {"PATH": "/bin"}
 
 
-def test_the_program_reads_a_deprecated_name_and_says_so_in_one_line():
+def test_a_deprecated_name_is_read_and_logged_in_one_line():
     with Stage(engines=1, env={"WILLOWHITCH_LOG": "INFO"}) as s:
-        said = s.log_text()
-    assert said.count("environment: WILLOWHITCH_LOG deprecated, use SOFTSWITCH_*") == 1, said
+        log = s.log_text()
+    assert log.count("environment: WILLOWHITCH_LOG deprecated, use SOFTSWITCH_*") == 1, log
--- a/tests/test_platform_rules.py
+++ b/tests/test_platform_rules.py
@@ -1,4 +1,4 @@
-"""What the fleet's standing test refuses is needed nowhere: to start, to serve, to reload, to stop."""
+"""The softswitch needs no system call that the fleet's standing test rejects; and the deploy file."""
 
 import os
 import re
@@ -8,7 +8,7 @@
 from support.harness import ROOT, Stage
 
 
-def test_starts_serves_reloads_and_stops_with_all_of_it_refused():
+def test_starts_serves_reloads_and_stops_under_the_filter():
     with tempfile.TemporaryDirectory() as tmp:
         Path(tmp, "willowhitch-left-over").touch()
         command = (str(ROOT / "tests" / "support" / "seccomp_filter.py"), "softswitch")
@@ -29,17 +29,17 @@
                 p send SIGTERM
                 p expect 0
                 """)
-            said = s.log_text()
-        assert said.count("handover: not offered") == 1 and "configuration reloaded" in said, said
-        assert "fault" not in said and "ERROR" not in said, said
+            log = s.log_text()
+        assert log.count("handover: not offered") == 1 and "configuration reloaded" in log, log
+        assert "fault" not in log and "ERROR" not in log, log
 
 
-def test_the_deploy_file_ends_run_by_exec_and_its_features_stay_off():
+def test_the_deploy_file_execs_the_softswitch_and_leaves_optional_features_off():
     import tomllib
 
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert re.search(r"(^|= )exec \.venv/bin/python -m softswitch$", deploy["run"])
-    assert not re.search(r"[;&|]", deploy["run"].removeprefix("trap '' HUP; "))  # a builtin: starts nothing
+    assert not re.search(r"[;&|]", deploy["run"].removeprefix("trap '' HUP; "))  # `trap` is a shell builtin
     assert tomllib.loads((ROOT / "deploy" / "control.toml").read_text())["listen"] == ""
     for path in deploy["policy"] + deploy["node"]:
         assert os.path.exists(ROOT / path), path
