--- a/softswitch/net/engine_link.py
+++ b/softswitch/net/engine_link.py
@@ -100,8 +100,8 @@
         self.queued_releases: dict[str, Release] = {}
         self.queued_setups: dict[str, Call] = {}  # not written yet, so they can still be withdrawn
         self.in_flight: set[str] = set()  # ids of call setups written to the current connection, unanswered
-        # Releases of established calls, oldest first. If the connection is reset, they may be lost and the
-        # engine would never learn that the calls are over, so they are written again.
+        # Releases of established calls, oldest first. A reset of the connection may lose them, and nothing
+        # else notifies the engine, so they are written again on the next connection.
         self.unacknowledged: dict[str, SentRelease] = {}
         self.heartbeat = Heartbeat(switch.wheel.now, pool.settings.may_probe)
         self.missed_releases = MissedReleases(self)
@@ -115,7 +115,7 @@
     # connection
 
     def open(self) -> None:
-        """Opens a connection unless one is open or being opened. Waits for the end of the backoff."""
+        """Opens a connection unless one is open or being opened; during a backoff, after it."""
         if self.connection is not None or self._is_connecting or self.is_closing or self._open_scheduled:
             return
         if not self.pool.may_open:
@@ -267,7 +267,7 @@
         return self.queued_setups.pop(call, None) is not None
 
     def return_queued_setups(self) -> None:
-        """Reports all queued call setups as unreachable, so that the switch retries them elsewhere."""
+        """Reports all queued call setups as unreachable, so that the switch retries or fails them."""
         for call in list(self.queued_setups):
             if self.withdraw_setup(call):
                 self.switch.attempt_unreachable(self.server, call)
