--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -184,16 +184,16 @@
         self.sock.sendall(struct.pack(">H", len(message)) + message)
 
 
-class Board:
+class WatchServer:
     """The watch server's end of a connection that the softswitch opened to it."""
 
     def __init__(self, stage, sock):
-        self.stage, self.sock, self.received, self.data, self.due = stage, sock, [], b"", 0.0
+        self.stage, self.sock, self.received, self.data, self.next_keepalive_at = stage, sock, [], b"", 0.0
 
     def send_keepalive(self):
         """Sends an event without changes once a second, as the watch server does."""
-        if time.monotonic() >= self.due and self.sock.fileno() >= 0:
-            self.due = time.monotonic() + 1.0
+        if time.monotonic() >= self.next_keepalive_at and self.sock.fileno() >= 0:
+            self.next_keepalive_at = time.monotonic() + 1.0
             try:
                 self.sock.sendall(struct.pack(">IQB", 9, 0, 0))
             except ConnectionError:
@@ -229,7 +229,7 @@
 
 
 class Stage:
-    """A softswitch process and its fake peers, which connect on first use."""
+    """A softswitch process and its fake peers."""
 
     def __init__(
         self, engines=2, settings=None, control="", config=None, env=None, command=("-m", "softswitch")
@@ -279,6 +279,7 @@
         self.start()
 
     def start(self, env=None):
+        """Starts a softswitch process, in addition to a running one."""
         self.program = subprocess.Popen(
             [sys.executable, *self.command], cwd=ROOT, env=self.env | (env or {}), stderr=self.log
         )
@@ -299,6 +300,7 @@
         self.dir.cleanup()
 
     def log_text(self):
+        """The log of the softswitch so far."""
         return Path(self.log.name).read_text()
 
     def party(self, name, **more):
@@ -332,7 +334,7 @@
         for sock in select.select([*open_, *listening], [], [], seconds)[0]:
             if sock in listening:
                 name = listening[sock]
-                self.parties[name] = (Board if name[0] == "b" else Engine)(self, sock.accept()[0])
+                self.parties[name] = (WatchServer if name[0] == "b" else Engine)(self, sock.accept()[0])
                 self.parties[name].received = ended.get(name, [])
                 continue
             name, party = open_[sock]
