--- a/benchmarks/replay_sockets.py
+++ b/benchmarks/replay_sockets.py
@@ -60,7 +60,7 @@
 
 def play(name, seconds, seed):
     """One day in this process: what was predicted and what was seen, as a dict."""
-    from softswitch.cli.trunks import sample_of
+    from softswitch.cli.trunks import make_sample
     from softswitch.dimension import loss, mutual, peaked_traffic, report, traffic, widths
     from softswitch.dimension.traffic import joined
     from softswitch.measure.recordfile import read
@@ -78,7 +78,7 @@
     )
     result = Fleet(day).play()
     streams = measured([read(p) for p in result.records]).streams
-    samples = {(s.dest, s.klass): sample_of(s) for s in streams}
+    samples = {(s.dest, s.klass): make_sample(s) for s in streams}
     found = {k: report.steady(s) for k, s in samples.items()}
     circuits = [e.circuits for e in day.engines]
     erlangs = {k: whole.erlangs.value for k, (_, whole) in found.items()}
--- a/softswitch/cli/__init__.py
+++ b/softswitch/cli/__init__.py
@@ -1,6 +1,6 @@
-"""The `softswitch` command. With no arguments it runs one softswitch, as the platform starts it.
+"""The `softswitch` command. Without arguments it runs one softswitch, as the platform starts it.
 
-Each group of commands is a module of this package, loaded when one of its commands is asked for.
+Each group of commands is a module of this package. It is imported when one of its commands is called.
 """
 
 from __future__ import annotations
@@ -9,77 +9,79 @@
 import sys
 from typing import NoReturn
 
-from softswitch.cli.agent_client import ask
+from softswitch.cli.agent_client import send_request
 
-__all__ = ["ask", "main"]
+__all__ = ["main", "send_request"]
 
-# command -> module, help; the modules have a Typer application `app`
+# command -> (module, help); each module has a function `application` that returns its Typer application
 COMMANDS = {
-    "agent": ("agents", "starts, watches, restarts and drains softswitches"),
-    "status": ("agents", "how an agent's softswitches are"),
-    "drain": ("agents", "end them in good order, for good"),
-    "restart": ("agents", "end them in good order and start them anew"),
-    "reload": ("agents", "have them read their configuration again, and keep serving"),
+    "agent": ("agents", "start, monitor, restart and drain softswitches"),
+    "status": ("agents", "show the state of an agent's softswitches"),
+    "drain": ("agents", "drain softswitches and stop them for good"),
+    "restart": ("agents", "drain softswitches and start them again"),
+    "reload": ("agents", "reload the configuration of softswitches without interrupting service"),
     "config": ("config", "check and show an operator file"),
-    "demo": ("demo", "a softswitch among stand-ins on loopback, for a bounded time"),
-    "fleet": ("fleet", "what softswitches say of their fleet; drills and runs with faults between them"),
-    "soak": ("soak", "real softswitches among stand-ins, drawn from a seed, held against every rule"),
-    "traffic": ("traffic", "what a traffic record holds"),
+    "demo": ("demo", "run a softswitch with stand-ins on loopback for a limited time"),
+    "fleet": ("fleet", "compare the fleet views of softswitches; run drills and simulations with faults"),
+    "soak": ("soak", "run real softswitches with stand-ins on generated plans and check all rules"),
+    "traffic": ("traffic", "show the contents of a traffic record"),
     "trunks": ("trunks", "dimension trunk groups: blocking, circuits, estimate, plan, what-if, plots"),
 }
-EXTRA = "this command needs its packages: pip install 'willowhitch[tools]'"
+MISSING_PACKAGES = "this command needs additional packages: pip install 'willowhitch[tools]'"
 
 
 def overview() -> str:
-    wide = max(map(len, COMMANDS)) + 2
+    """Returns the help text of the `softswitch` command."""
+    width = max(map(len, COMMANDS)) + 2
     lines = [
         "usage: softswitch [COMMAND ...]",
         "",
-        "With no arguments: runs one softswitch (BALANCER_CONFIG).",
+        "Without arguments: runs one softswitch (BALANCER_CONFIG).",
         "",
     ]
     return "\n".join(
         [
             *lines,
-            *(f"  {name:<{wide}}{text}" for name, (_, text) in COMMANDS.items()),
+            *(f"  {name:<{width}}{text}" for name, (_, text) in COMMANDS.items()),
             "",
-            "`softswitch COMMAND --help` tells more.",
+            "Run `softswitch COMMAND --help` for details.",
         ]
     )
 
 
-def main(words: list[str] | None = None) -> int:
-    words = sys.argv[1:] if words is None else words
-    if not words:
+def main(args: list[str] | None = None) -> int:
+    """Runs a command, or a softswitch if there are no arguments; returns the exit code."""
+    args = sys.argv[1:] if args is None else args
+    if not args:
         from softswitch.__main__ import main as softswitch
 
         return softswitch()
-    if words[0] in ("-h", "--help", "help"):
+    if args[0] in ("-h", "--help", "help"):
         print(overview())
         return 0
-    if words[0] not in COMMANDS:
-        print(f"willowhitch: no command '{words[0]}'; there are {', '.join(COMMANDS)}", file=sys.stderr)
+    if args[0] not in COMMANDS:
+        print(f"willowhitch: unknown command '{args[0]}'; commands: {', '.join(COMMANDS)}", file=sys.stderr)
         return 2
-    group = COMMANDS[words[0]][0]
+    group = COMMANDS[args[0]][0]
     try:
         app = importlib.import_module(f"softswitch.cli.{group}").application()
     except ImportError as e:
         if (e.name or "softswitch").startswith("softswitch"):
             raise
-        print(f"willowhitch: {e.name} is missing; {EXTRA}", file=sys.stderr)
+        print(f"willowhitch: {e.name} is missing; {MISSING_PACKAGES}", file=sys.stderr)
         return 2
     try:
-        # A group of one name stands by itself; `agents` has several words of the top level.
+        # The commands of `agents` are top-level commands; the other modules are named by the first argument.
         app(
-            words if group == "agents" else words[1:],
-            prog_name="softswitch" + ("" if group == "agents" else f" {words[0]}"),
+            args if group == "agents" else args[1:],
+            prog_name="softswitch" + ("" if group == "agents" else f" {args[0]}"),
         )
     except SystemExit as e:
         return e.code if isinstance(e.code, int) else 0 if e.code is None else 1
     return 0
 
 
-def bad(text: object) -> NoReturn:
-    """Ends a command over bad input: one plain line, exit code 2."""
-    print(f"willowhitch: {' '.join(str(text).split())}", file=sys.stderr)
+def exit_with_error(message: object) -> NoReturn:
+    """Prints a message in one line and exits with code 2, for invalid input."""
+    print(f"willowhitch: {' '.join(str(message).split())}", file=sys.stderr)
     raise SystemExit(2)
--- a/softswitch/cli/agent_client.py
+++ b/softswitch/cli/agent_client.py
@@ -1,4 +1,4 @@
-"""What the command line says to an agent over its local socket."""
+"""Requests of the command line to an agent over its local socket."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 TIMEOUT = 5.0  # s
 
 
-def ask(path: str, what: str, name: str | None) -> dict[str, Any]:
-    """One question to the agent."""
-    with socket.socket(socket.AF_UNIX) as line:
-        line.settimeout(TIMEOUT)
-        line.connect(path)
-        line.sendall(orjson.dumps({"do": what} | ({"name": name} if name else {})) + b"\n")
-        answer: dict[str, Any] = orjson.loads(line.makefile("rb").readline())
-        return answer
+def send_request(path: str, command: str, name: str | None) -> dict[str, Any]:
+    """Sends one command to the agent and returns its response; `name` selects one softswitch, None all."""
+    with socket.socket(socket.AF_UNIX) as connection:
+        connection.settimeout(TIMEOUT)
+        connection.connect(path)
+        connection.sendall(orjson.dumps({"do": command} | ({"name": name} if name else {})) + b"\n")
+        response: dict[str, Any] = orjson.loads(connection.makefile("rb").readline())
+        return response
 
 
-def tell(path: str, what: str, name: str | None) -> int:
-    """Asks, and prints the answer; the exit code."""
+def run_command(path: str, command: str, name: str | None) -> int:
+    """Sends one command to the agent and prints its response; returns the exit code."""
     try:
-        answer = ask(path, what, name)
+        response = send_request(path, command, name)
     except (OSError, ValueError) as e:
         print(f"willowhitch: agent at {path}: {e}", file=sys.stderr)
         return 1
-    if "error" in answer:
-        print(f"willowhitch: {answer['error']}", file=sys.stderr)
+    if "error" in response:
+        print(f"willowhitch: {response['error']}", file=sys.stderr)
         return 1
-    for i in answer["instances"]:
+    for i in response["instances"]:
         print(
             f"{i['name']:<16} {i['state']:<9} process {i['pid'] or '-':<8} starts {i['starts']:<4} "
             f"for {i['seconds']:.1f} s"
--- a/softswitch/cli/agents.py
+++ b/softswitch/cli/agents.py
@@ -1,4 +1,4 @@
-"""`softswitch agent`, and what one says to it: status, drain, restart, reload."""
+"""`softswitch agent` and the commands that are sent to a running agent: status, drain, restart, reload."""
 
 from __future__ import annotations
 
@@ -8,19 +8,21 @@
 import typer
 
 from softswitch import environment
-from softswitch.cli.agent_client import tell
+from softswitch.cli.agent_client import run_command
 
 app = typer.Typer(add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False)
-Name = Annotated[str, typer.Argument(help="its name; else all")]
+Name = Annotated[str, typer.Argument(help="the name of a softswitch; default: all")]
 AGENT_NAMES = environment.names(environment.AGENT_SOCKET)
 At = Annotated[str, typer.Option("--socket", help="the agent's socket", envvar=AGENT_NAMES)]
 
 
 def application() -> typer.Typer:
+    """Returns the Typer application."""
     return app
 
 
 def supervise(file: str) -> int:
+    """Runs an agent in this process until it is stopped; returns the exit code."""
     from loguru import logger
 
     from softswitch import agent as supervision
@@ -35,30 +37,30 @@
 
 
 @app.command()
-def agent(file: Annotated[str, typer.Argument(help="the TOML file that names them")]) -> None:
-    """Starts, watches, restarts and drains softswitches."""
+def agent(file: Annotated[str, typer.Argument(help="a TOML file that lists the softswitches")]) -> None:
+    """Starts, monitors, restarts and drains softswitches."""
     raise typer.Exit(supervise(file))
 
 
 @app.command()
 def status(instance: Name = "", socket: At = "agent.sock") -> None:
-    """How they are."""
-    raise typer.Exit(tell(socket, "status", instance or None))
+    """Shows the state of the softswitches."""
+    raise typer.Exit(run_command(socket, "status", instance or None))
 
 
 @app.command()
 def drain(instance: Name = "", socket: At = "agent.sock") -> None:
-    """Ends them in good order, for good."""
-    raise typer.Exit(tell(socket, "drain", instance or None))
+    """Drains the softswitches and stops them for good."""
+    raise typer.Exit(run_command(socket, "drain", instance or None))
 
 
 @app.command()
 def restart(instance: Name = "", socket: At = "agent.sock") -> None:
-    """Ends them in good order and starts them anew."""
-    raise typer.Exit(tell(socket, "restart", instance or None))
+    """Drains the softswitches and starts them again."""
+    raise typer.Exit(run_command(socket, "restart", instance or None))
 
 
 @app.command()
 def reload(instance: Name = "", socket: At = "agent.sock") -> None:
-    """Has them read their configuration again, and keep serving."""
-    raise typer.Exit(tell(socket, "reload", instance or None))
+    """Reloads the configuration of the softswitches without interrupting service."""
+    raise typer.Exit(run_command(socket, "reload", instance or None))
--- a/softswitch/cli/budgets.py
+++ b/softswitch/cli/budgets.py
@@ -1,4 +1,4 @@
-"""What many softswitches say of their budgets, added up."""
+"""Sums of the budgets that several softswitches report."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from rich.table import Table
 
 
-def summed(said: dict[str, dict[str, Any]]) -> dict[str, Any]:
-    """By budget: the lowest whole that a file names, what each holds until when, and the sum. Two members
-    asked some ms apart can't both tell a slot that went from one to the other: it rests for a
-    whole window.
+def sum_budgets(views: dict[str, dict[str, Any]]) -> dict[str, Any]:
+    """Returns by budget the lowest configured total, the slots that each member holds and until when, and
+    their sum. A slot that moves from one member to another is never counted twice, although the members are
+    queried some ms apart: it cools down for a whole window before it is granted again.
     """
-    told = {address: view for address, view in said.items() if "error" not in view}
+    reported = {address: view for address, view in views.items() if "error" not in view}
     budgets: dict[str, dict[str, Any]] = {}
-    for view in told.values():
+    for view in reported.values():
         for name, b in view["budgets"].items():
             row = budgets.setdefault(
                 name,
@@ -46,36 +46,38 @@
                 "refused": b["refused"],
                 "lease_left_ms": round(view["lease_left_ms"]) if b["leased"] else 0,
             }
-    for view in told.values():
+    for view in reported.values():
         if "books" in view:
-            # granted and not told to be held: on the way, or with somebody who was not asked
-            for name, out in view["books"]["out"].items():
+            # Granted slots that no queried member reports: the grant is in flight, or the holder was not
+            # queried.
+            for name, granted in view["books"]["out"].items():
                 if name in budgets:
                     leased = sum(h["leased"] for h in budgets[name]["held"].values())
-                    budgets[name]["in_flight"] = max(0, out - leased)
+                    budgets[name]["in_flight"] = max(0, granted - leased)
     return {
         "budgets": budgets,
         "over": [name for name, b in budgets.items() if b["sum"] > b["whole"]],
-        "in_office": [view["me"] for view in told.values() if view["in_office"]],
-        "errors": {a: v["error"] for a, v in said.items() if "error" in v},
+        "in_office": [view["me"] for view in reported.values() if view["in_office"]],
+        "errors": {a: v["error"] for a, v in views.items() if "error" in v},
     }
 
 
-def tables(found: dict[str, Any]) -> list[Table]:
-    made = []
-    for name, b in found["budgets"].items():
-        wholes = f" (files say {', '.join(map(str, b['wholes']))})" if len(b["wholes"]) > 1 else ""
+def budget_tables(summary: dict[str, Any]) -> list[Table]:
+    """Returns one table per budget, with one row per member."""
+    tables = []
+    for name, b in summary["budgets"].items():
+        totals = f" (configured: {', '.join(map(str, b['wholes']))})" if len(b["wholes"]) > 1 else ""
         title = (
-            f"{name}: {b['sum']} of {b['whole']} slots held{wholes}, {b['in_flight']} on the way; "
-            f"a slot is used once in {b['over_ms'] / 1000:g} s"
+            f"{name}: {b['sum']} of {b['whole']} slots held{totals}, {b['in_flight']} in flight; "
+            f"each slot is used at most once per {b['over_ms'] / 1000:g} s"
         )
         table = Table(
             "member", "holds", "until, s", "needs", "in use", "wanted", "spent", "refused", title=title
         )
-        for at, h in sorted(b["held"].items(), key=lambda item: -item[1]["held"]):
-            until = f"{h['lease_left_ms'] / 1000:.1f}" if h["leased"] else "its floor"
+        for address, h in sorted(b["held"].items(), key=lambda item: -item[1]["held"]):
+            until = f"{h['lease_left_ms'] / 1000:.1f}" if h["leased"] else "floor"
             table.add_row(
-                f"{h['member']} {at}",
+                f"{h['member']} {address}",
                 str(h["held"]),
                 until,
                 str(h["need"]),
@@ -84,5 +86,5 @@
                 str(h["spent"]),
                 str(h["refused"]),
             )
-        made.append(table)
-    return made
+        tables.append(table)
+    return tables
--- a/softswitch/cli/config.py
+++ b/softswitch/cli/config.py
@@ -7,12 +7,13 @@
 import msgspec
 import typer
 
-from softswitch.cli import bad
+from softswitch.cli import exit_with_error
 from softswitch.operator.load import BadOperatorFile, load
 from softswitch.operator.tables import Operator
 
 
 def application() -> typer.Typer:
+    """Returns the Typer application."""
     return app
 
 
@@ -22,21 +23,21 @@
 File = Annotated[str, typer.Argument(help="the operator file, such as deploy/operator.star")]
 
 
-def _loaded(file: str) -> Operator:
+def _load(file: str) -> Operator:
     try:
         return load(file)
     except BadOperatorFile as e:
-        bad(e)
+        exit_with_error(e)
 
 
 @app.command()
 def check(file: File) -> None:
-    """Tells whether a softswitch can serve the file; exit code 2 with one line if not."""
-    _loaded(file)
-    print(f"{file}: good")
+    """Checks whether a softswitch can use the file; if not, prints the reason and exits with code 2."""
+    _load(file)
+    print(f"{file}: valid")
 
 
 @app.command()
 def show(file: File) -> None:
-    """The values in force, defaults filled in, as JSON."""
-    print(msgspec.json.format(msgspec.json.encode(_loaded(file)), indent=2).decode())
+    """Prints the values in effect, including defaults, as JSON."""
+    print(msgspec.json.format(msgspec.json.encode(_load(file)), indent=2).decode())
--- a/softswitch/cli/demo.py
+++ b/softswitch/cli/demo.py
@@ -1,4 +1,4 @@
-"""`softswitch demo`: the main job at work on loopback, with no file to write."""
+"""`softswitch demo`: runs a softswitch with stand-ins on loopback; needs no configuration file."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from rich.live import Live
 from rich.table import Table
 
-from softswitch.cli import bad
+from softswitch.cli import exit_with_error
 from softswitch.cli.traffic import cells_table, routes_table, summary
 from softswitch.measure.recordfile import read
 from softswitch.standin.engine import EngineSettings
@@ -21,6 +21,7 @@
 
 
 def application() -> typer.Typer:
+    """Returns the Typer application."""
     return app
 
 
@@ -28,7 +29,7 @@
 
 
 def day(seconds: float, rate: float, engines: int, circuits: int, seed: int) -> Day:
-    """A short quoting day: two classes, first choices spread over the engines."""
+    """Returns a short day of traffic with two classes; first choices are spread over the engines."""
     hold = {"price-check": 1.6, "save-quote": 2.4}
     return Day(
         engines=tuple(
@@ -52,17 +53,17 @@
     )
 
 
-def table(fleet: Fleet) -> Group:
-    """What is seen now, from the stand-ins' side."""
+def live_tables(fleet: Fleet) -> Group:
+    """Returns tables of the current state as the stand-ins see it."""
     now = fleet.reactor.seconds() - fleet.began
     calls = Table(
         "class",
         "first choice",
         "calls",
-        "stand or stood",
-        "refused tries",
+        "established",
+        "rejected attempts",
         "lost",
-        "mean set-up ms",
+        "mean setup ms",
         title=f"callers, second {now:.0f} of {fleet.day.seconds:.0f}",
     )
     sums: dict[tuple[str, int], list[float]] = {}
@@ -71,23 +72,23 @@
             row = sums.setdefault(key, [0, 0, 0, 0, 0.0])
             for n, value in enumerate((t.calls, t.carried, t.codes[503], t.lost, t.delay_s)):
                 row[n] += value
-    for (klass, dest), (placed, stood, refused, lost, delay) in sorted(sums.items()):
+    for (call_class, dest), (placed, established, rejected, lost, delay) in sorted(sums.items()):
         calls.add_row(
-            klass,
+            call_class,
             str(dest),
             f"{placed:.0f}",
-            f"{stood:.0f}",
-            f"{refused:.0f}",
+            f"{established:.0f}",
+            f"{rejected:.0f}",
             f"{lost:.0f}",
-            f"{1000 * delay / stood:.0f}" if stood else "-",
+            f"{1000 * delay / established:.0f}" if established else "-",
         )
     engines = Table(
         "engine",
         "circuits",
         "in use",
         "set-ups",
-        "refused: circuits",
-        "refused: processor",
+        "rejected: circuits",
+        "rejected: processor",
         "queue ms",
         title="quote engines",
     )
@@ -106,21 +107,21 @@
 
 @app.command()
 def demo(
-    seconds: Annotated[float, typer.Option(help="how long calls come", min=1, max=600)] = 20.0,
-    rate: Annotated[float, typer.Option(help="calls a second", min=0.1, max=500)] = 40.0,
+    seconds: Annotated[float, typer.Option(help="seconds of traffic", min=1, max=600)] = 20.0,
+    rate: Annotated[float, typer.Option(help="calls per second", min=0.1, max=500)] = 40.0,
     engines: Annotated[int, typer.Option(help="stand-in quote engines", min=1, max=20)] = 3,
-    circuits: Annotated[int, typer.Option(help="circuits of each", min=1, max=100_000)] = 24,
-    seed: Annotated[int, typer.Option(help="of traffic and holding times")] = 1,
-    keep: Annotated[str, typer.Option(help="where the traffic record is kept; else it is dropped")] = "",
+    circuits: Annotated[int, typer.Option(help="circuits of each engine", min=1, max=100_000)] = 24,
+    seed: Annotated[int, typer.Option(help="random seed of traffic and holding times")] = 1,
+    keep: Annotated[str, typer.Option(help="file for the traffic record; default: none is kept")] = "",
     as_json: Annotated[bool, typer.Option("--json", help="one JSON object at the end, no table")] = False,
 ) -> None:
-    """A softswitch among stand-ins on loopback: a live table, then its traffic report."""
-    screen = Console()
-    live = None if as_json else Live(console=screen, refresh_per_second=2)
+    """Runs a softswitch with stand-ins on loopback; shows a live table, then a traffic report."""
+    console = Console()
+    live = None if as_json else Live(console=console, refresh_per_second=2)
 
     def show(fleet: Fleet) -> None:
         if live:
-            live.update(table(fleet))
+            live.update(live_tables(fleet))
 
     fleet = Fleet(day(seconds, rate, engines, circuits, seed), show)
     try:
@@ -130,30 +131,33 @@
         else:
             result = fleet.play()
     except FleetFailed as e:
-        bad(e)
+        exit_with_error(e)
     (file,) = result.records
     contents = read(file)
-    told, total = summary(contents.entries), result.total()
+    traffic, total = summary(contents.entries), result.total()
     if keep:
         try:
             shutil.copyfile(file, keep)
         except OSError as e:
-            bad(f"{keep}: {e.strerror}; name a file that can be written")
+            exit_with_error(f"{keep}: {e.strerror}; name a writable file")
     if as_json:
-        said: dict[str, Any] = {
+        report: dict[str, Any] = {
             "callers": total.told(),
             "engines": result.engines,
-            "traffic": told,
+            "traffic": traffic,
             "kept": keep,
         }
-        print(orjson.dumps(said).decode())
+        print(orjson.dumps(report).decode())
     else:
-        screen.print(routes_table(told["routes"]))
-        screen.print(cells_table(told["cells"]))
-        screen.print(
-            f"{total.calls} calls: {total.carried} stood, {total.lost} lost after all tries, "
-            f"{total.unanswered} without an answer in time."
+        console.print(routes_table(traffic["routes"]))
+        console.print(cells_table(traffic["cells"]))
+        console.print(
+            f"{total.calls} calls: {total.carried} established, {total.lost} lost after all attempts, "
+            f"{total.unanswered} attempts without a response in time."
         )
         if keep:
-            screen.print(f"record kept: softswitch trunks estimate {Path(keep)}", markup=False)
+            console.print(
+                f"traffic record written; evaluate it with: softswitch trunks estimate {Path(keep)}",
+                markup=False,
+            )
     raise typer.Exit(0 if total.unanswered == 0 and total.second_answers == 0 else 1)
--- a/softswitch/cli/fleet.py
+++ b/softswitch/cli/fleet.py
@@ -1,5 +1,5 @@
-"""`softswitch fleet`: what many softswitches say of their fleet, drills on processes, runs on virtual
-time.
+"""`softswitch fleet`: compares the fleet views of softswitches, runs drills on real processes and simulations
+on virtual time.
 """
 
 from __future__ import annotations
@@ -16,86 +16,86 @@
 from rich.live import Live
 from rich.table import Table
 
-from softswitch.cli import bad
+from softswitch.cli import exit_with_error
 
 app = typer.Typer(add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False)
-MOST_ADDRESSES = 1_000
+MAX_ADDRESSES = 1_000
 AsJson = Annotated[bool, typer.Option("--json", help="one JSON object, no table")]
 
 
 def application() -> typer.Typer:
+    """Returns the Typer application."""
     return app
 
 
-def ask_all(addresses: list[str], seconds: float, what: str, key: str) -> dict[str, dict[str, Any]]:
-    """What each of them says, in the order given; each is asked once, many at a time."""
+def query_all(addresses: list[str], seconds: float, resource: str, key: str) -> dict[str, dict[str, Any]]:
+    """Queries each address once, several in parallel; returns the responses by address, in order."""
     addresses = list(dict.fromkeys(addresses))
-    if len(addresses) > MOST_ADDRESSES:
-        bad(f"{len(addresses)} addresses; at most {MOST_ADDRESSES} are asked at once")
+    if len(addresses) > MAX_ADDRESSES:
+        exit_with_error(f"{len(addresses)} addresses; at most {MAX_ADDRESSES} are queried at once")
     with ThreadPoolExecutor(min(32, len(addresses))) as pool:
-        said = pool.map(lambda a: ask(a, seconds, what, key), addresses)
-        return dict(zip(addresses, said, strict=True))
+        responses = pool.map(lambda a: query(a, seconds, resource, key), addresses)
+        return dict(zip(addresses, responses, strict=True))
 
 
-def ask(address: str, seconds: float, what: str, key: str) -> dict[str, Any]:
-    """What the softswitch whose management address this is says of its fleet, or of `what`; `error` says why
-    there is nothing.
+def query(address: str, seconds: float, resource: str, key: str) -> dict[str, Any]:
+    """Returns a softswitch's GET /v1/`resource`, which must contain `key`. On failure, `error` has the
+    reason.
     """
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65_536:
-        return {"error": f"{address!r} is no address; host:port of `mgmt` is wanted"}
+        return {"error": f"{address!r} is not an address; expected host:port of `mgmt`"}
     try:
         connection = http.client.HTTPConnection(host, int(port), timeout=seconds)
         try:
-            connection.request("GET", f"/v1/{what}")
-            answer = connection.getresponse()
-            body = answer.read()
+            connection.request("GET", f"/v1/{resource}")
+            response = connection.getresponse()
+            body = response.read()
         finally:
             connection.close()
-        if answer.status == 404:
-            return {"error": f"has none: its operator file has no `{what}`"}
-        if answer.status != 200:
-            return {"error": f"answered {answer.status}"}
+        if response.status == 404:
+            return {"error": f"not configured: its operator file has no `{resource}`"}
+        if response.status != 200:
+            return {"error": f"HTTP status {response.status}"}
         view = orjson.loads(body)
         if not isinstance(view, dict) or key not in view:
-            return {"error": "not what was asked for in what it answered"}
+            return {"error": "unexpected response"}
         return view
     except (OSError, http.client.HTTPException, orjson.JSONDecodeError) as e:
         return {"error": f"not reached: {e}"}
 
 
-def compared(views: dict[str, dict[str, Any]]) -> dict[str, Any]:
-    """What all say, member by member. `disagree`: where they differ, and since when that can be at the
-    most.
-    """
-    told = {address: view for address, view in views.items() if "error" not in view}
+def compare_views(views: dict[str, dict[str, Any]]) -> dict[str, Any]:
+    """Compares the views member by member. `differ_ms` is the longest time that they may have differed."""
+    received = {address: view for address, view in views.items() if "error" not in view}
     rows: dict[str, dict[str, Any]] = {}
-    for address, view in told.items():
+    for address, view in received.items():
         for m in view["members"]:
             key = f"{m['name']}@{m['address']}"
             row = rows.setdefault(key, {k: m[k] for k in ("name", "address", "site")} | {"said": {}})
             row["said"][address] = {k: m[k] for k in ("state", "incarnation", "for_ms", "version", "config")}
     for row in rows.values():
-        said = row["said"]
-        states = {(s["state"], s["incarnation"]) for s in said.values()}
-        row["agree"] = len(states) == 1 and len(said) == len(told)
-        # They have differed since the last of them learned what it holds now, or for less.
-        row["differ_ms"] = 0 if row["agree"] else min(s["for_ms"] for s in said.values())
-    fleets = {view["fleet"] for view in told.values()}
-    cut_off = [address for address, view in told.items() if view["cut_off"]]
-    heard = bool(told) and len(told) == len(views)
-    agree = heard and len(fleets) == 1 and all(row["agree"] for row in rows.values())
+        views_of_member = row["said"]
+        states = {(s["state"], s["incarnation"]) for s in views_of_member.values()}
+        row["agree"] = len(states) == 1 and len(views_of_member) == len(received)
+        # The views have differed at most since the latest change of any of them.
+        row["differ_ms"] = 0 if row["agree"] else min(s["for_ms"] for s in views_of_member.values())
+    fleets = {view["fleet"] for view in received.values()}
+    cut_off = [address for address, view in received.items() if view["cut_off"]]
+    all_received = bool(received) and len(received) == len(views)
+    agree = all_received and len(fleets) == 1 and all(row["agree"] for row in rows.values())
     return {
         "agree": agree,
         "cut_off": cut_off,
         "fleets": sorted(fleets),
         "errors": {a: v["error"] for a, v in views.items() if "error" in v},
-        "names_taken": {a: v["names_taken"] for a, v in told.items() if v["names_taken"]},
+        "names_taken": {a: v["names_taken"] for a, v in received.items() if v["names_taken"]},
         "members": [rows[key] for key in sorted(rows)],
     }
 
 
-def table_of(found: dict[str, Any], asked: int) -> Table:
+def comparison_table(comparison: dict[str, Any], queried: int) -> Table:
+    """Returns a table with one row per member, or one per state where the views differ."""
     table = Table(
         "member",
         "site",
@@ -105,21 +105,21 @@
         "version",
         "config",
         "agree",
-        title=f"fleet {', '.join(found['fleets']) or '-'}: {asked} asked",
+        title=f"fleet {', '.join(comparison['fleets']) or '-'}: {queried} queried",
     )
-    for row in found["members"]:
-        by: dict[tuple[str, int], list[dict[str, Any]]] = {}
-        for said in row["said"].values():
-            by.setdefault((said["state"], said["incarnation"]), []).append(said)
-        most = sorted(by.items(), key=lambda item: -len(item[1]))
-        for n, ((state, incarnation), some) in enumerate(most):
-            first = some[0]
+    for row in comparison["members"]:
+        by_state: dict[tuple[str, int], list[dict[str, Any]]] = {}
+        for record in row["said"].values():
+            by_state.setdefault((record["state"], record["incarnation"]), []).append(record)
+        most_frequent = sorted(by_state.items(), key=lambda item: -len(item[1]))
+        for n, ((state, incarnation), records) in enumerate(most_frequent):
+            first = records[0]
             table.add_row(
                 row["name"] if n == 0 else "",
                 row["site"] if n == 0 else "",
-                state if len(most) == 1 else f"{state} ({len(some)} say so)",
+                state if len(most_frequent) == 1 else f"{state} ({len(records)} of the views)",
                 str(incarnation),
-                f"{max(s['for_ms'] for s in some) / 1000:.1f}",
+                f"{max(s['for_ms'] for s in records) / 1000:.1f}",
                 first["version"],
                 first["config"][:8],
                 "yes" if row["agree"] else f"no, for {row['differ_ms'] / 1000:.1f} s" if n == 0 else "",
@@ -130,55 +130,56 @@
 @app.command()
 def view(
     addresses: Annotated[list[str], typer.Argument(help="management addresses, host:port")],
-    seconds: Annotated[float, typer.Option(help="how long each may take", min=0.1, max=60)] = 2.0,
+    seconds: Annotated[float, typer.Option(help="timeout per address, in seconds", min=0.1, max=60)] = 2.0,
     as_json: AsJson = False,
 ) -> None:
-    """What the softswitches say of their fleet, and where they disagree. Exit 0 only if all agree."""
-    views = ask_all(addresses, seconds, "fleet", "members")
-    found = compared(views)
+    """Compares the fleet views of softswitches. Exits with 0 only if all views agree."""
+    views = query_all(addresses, seconds, "fleet", "members")
+    comparison = compare_views(views)
     if as_json:
-        print(orjson.dumps(found).decode())
+        print(orjson.dumps(comparison).decode())
     else:
-        screen = Console()
-        screen.print(table_of(found, len(views)))
-        for address, why in found["errors"].items():
-            screen.print(f"{address}: {why}", markup=False)
-        for address in found["cut_off"]:
-            screen.print(f"{address}: says that it is cut off", markup=False)
-        for address, taken in found["names_taken"].items():
-            screen.print(f"{address}: its name is claimed by {', '.join(taken)} too", markup=False)
-        screen.print("All agree." if found["agree"] else "They do not agree.")
-    raise typer.Exit(0 if found["agree"] else 1)
+        console = Console()
+        console.print(comparison_table(comparison, len(views)))
+        for address, error in comparison["errors"].items():
+            console.print(f"{address}: {error}", markup=False)
+        for address in comparison["cut_off"]:
+            console.print(f"{address}: reports that it is cut off", markup=False)
+        for address, claimants in comparison["names_taken"].items():
+            console.print(f"{address}: its name is also claimed by {', '.join(claimants)}", markup=False)
+        console.print("All views agree." if comparison["agree"] else "The views differ.")
+    raise typer.Exit(0 if comparison["agree"] else 1)
 
 
 @app.command()
 def budgets(
     addresses: Annotated[list[str], typer.Argument(help="management addresses, host:port")],
-    seconds: Annotated[float, typer.Option(help="how long each may take", min=0.1, max=60)] = 2.0,
+    seconds: Annotated[float, typer.Option(help="timeout per address, in seconds", min=0.1, max=60)] = 2.0,
     as_json: AsJson = False,
 ) -> None:
-    """Who holds which part of the fleet's budgets until when. Exit 0 only if all were reached and no sum is
-    above its whole.
+    """Shows how many slots of the fleet's budgets each member holds, and until when. Exits with 0 only if all
+    members were reached and no sum exceeds its total.
     """
-    from softswitch.cli.budgets import summed, tables
+    from softswitch.cli.budgets import budget_tables, sum_budgets
 
-    found = summed(ask_all(addresses, seconds, "budgets", "budgets"))
+    summary = sum_budgets(query_all(addresses, seconds, "budgets", "budgets"))
     if as_json:
-        print(orjson.dumps(found).decode())
+        print(orjson.dumps(summary).decode())
     else:
-        screen = Console()
-        for table in tables(found):
-            screen.print(table)
-        for address, why in found["errors"].items():
-            screen.print(f"{address}: {why}", markup=False)
-        nobody = "nobody: all are at their floors, or soon"
-        screen.print(f"allocator: {', '.join(found['in_office']) or nobody}", markup=False)
-        for name in found["over"]:
-            screen.print(f"{name}: THE SUM IS ABOVE THE WHOLE", markup=False)
-    raise typer.Exit(1 if found["over"] or found["errors"] else 0)
-
-
-def faults_of(schedule: str, seed: int, sites: dict[str, str], seconds: float) -> list[Any]:
+        console = Console()
+        for table in budget_tables(summary):
+            console.print(table)
+        for address, error in summary["errors"].items():
+            console.print(f"{address}: {error}", markup=False)
+        no_leader = "none; all members are at their floors or soon will be"
+        console.print(f"allocator: {', '.join(summary['in_office']) or no_leader}", markup=False)
+        for name in summary["over"]:
+            console.print(f"{name}: THE SUM EXCEEDS THE TOTAL", markup=False)
+    raise typer.Exit(1 if summary["over"] or summary["errors"] else 0)
+
+
+def load_faults(schedule: str, seed: int, sites: dict[str, str], seconds: float) -> list[Any]:
+    """Returns the faults of a schedule file, or generates them from the seed if there is no file."""
     from softswitch.standin.faults.schedule import BadSchedule, drawn, read
 
     if not schedule:
@@ -186,12 +187,12 @@
     try:
         faults = read(schedule, sites)
     except BadSchedule as e:
-        bad(e)
+        exit_with_error(e)
     late = [f for f in faults if f.at_s >= seconds]
     if late:
-        bad(
-            f"{schedule}: {late[0].what} at {late[0].at_s:g} s comes after the run's {seconds:g} s; "
-            "give it more --seconds"
+        exit_with_error(
+            f"{schedule}: {late[0].what} at {late[0].at_s:g} s is after the end of the run at {seconds:g} s; "
+            "increase --seconds"
         )
     return faults
 
@@ -200,34 +201,36 @@
 def drill(
     softswitches: Annotated[int, typer.Option(help="real processes", min=2, max=60)] = 12,
     sites: Annotated[int, typer.Option(min=1, max=12)] = 3,
-    seconds: Annotated[float, typer.Option(help="how long calls and faults come", min=5, max=3600)] = 40.0,
-    seed: Annotated[int, typer.Option(help="of traffic, links, and of the schedule where none is given")] = 7,
-    schedule: Annotated[str, typer.Option(help="a JSON file of faults; else they are drawn")] = "",
-    rate: Annotated[float, typer.Option(help="calls a second over all", min=0, max=1000)] = 24.0,
-    keep: Annotated[str, typer.Option(help="a file for the schedule as it was played")] = "",
-    budgets: Annotated[str, typer.Option(help="a JSON file of budgets, divided among them")] = "",
-    heavy: Annotated[float, typer.Option(help="share of all calls at one softswitch", min=0, max=1)] = 0.0,
-    heavy_moves: Annotated[float, typer.Option(help="s until it moves; 0: never", min=0)] = 0.0,
+    seconds: Annotated[float, typer.Option(help="duration of calls and faults", min=5, max=3600)] = 40.0,
+    seed: Annotated[int, typer.Option(help="random seed of traffic, links and a generated schedule")] = 7,
+    schedule: Annotated[str, typer.Option(help="a JSON file of faults; default: generated")] = "",
+    rate: Annotated[float, typer.Option(help="calls per second in total", min=0, max=1000)] = 24.0,
+    keep: Annotated[str, typer.Option(help="file to write the executed schedule to")] = "",
+    budgets: Annotated[str, typer.Option(help="a JSON file of budgets to divide")] = "",
+    heavy: Annotated[float, typer.Option(help="fraction of all calls at one softswitch", min=0, max=1)] = 0.0,
+    heavy_moves: Annotated[float, typer.Option(help="s until it moves to the next; 0: never", min=0)] = 0.0,
     as_json: AsJson = False,
 ) -> None:
-    """Starts softswitches with faults between them. Exit 0 only if all settled, nobody was falsely called
-    gone and no sum of a budget was above its whole.
+    """Runs softswitch processes with faults injected. Exits with 0 only if all views converged, no member was
+    falsely declared gone and no sum of a budget exceeded its total.
     """
     from softswitch.standin.faults.drill import Drill
     from softswitch.standin.fleet import FleetFailed
 
-    names = {f"n{n}": "abcdefghijkl"[n % sites] for n in range(softswitches)}
-    faults = faults_of(schedule, seed, names, seconds)
+    site_by_name = {f"n{n}": "abcdefghijkl"[n % sites] for n in range(softswitches)}
+    faults = load_faults(schedule, seed, site_by_name, seconds)
     if any(fault.what == "disk slow" for fault in faults):
-        bad(f"{schedule}: 'disk slow' can't be put under a real process; `disk full`, `disk read-only` can")
-    screen = Console()
-    live = None if as_json else Live(console=screen, refresh_per_second=2)
+        exit_with_error(
+            f"{schedule}: 'disk slow' is not available for real processes; `disk full`, `disk read-only` are"
+        )
+    console = Console()
+    live = None if as_json else Live(console=console, refresh_per_second=2)
 
-    def show(play: Drill) -> None:
+    def show(running: Drill) -> None:
         if live:
-            live.update(drill_table(play))
+            live.update(drill_table(running))
 
-    made = Drill(
+    drill = Drill(
         softswitches,
         sites,
         seconds,
@@ -235,40 +238,40 @@
         faults,
         rate,
         on_second=show,
-        budgets=budgets_of(budgets, softswitches),
+        budgets=load_budgets(budgets, softswitches),
         heavy=heavy,
         moves_s=heavy_moves,
     )
     try:
         if live:
             with live:
-                seen = made.seen()
+                result = drill.seen()
         else:
-            seen = made.seen()
+            result = drill.seen()
     except FleetFailed as e:
-        bad(e)
+        exit_with_error(e)
     if keep:
         try:
-            Path(keep).write_bytes(seen.schedule())
+            Path(keep).write_bytes(result.schedule())
         except OSError as e:
-            bad(f"{keep}: {e.strerror}; name a file that can be written")
+            exit_with_error(f"{keep}: {e.strerror}; name a writable file")
     if as_json:
-        print(orjson.dumps(seen.told()).decode())
+        print(orjson.dumps(result.told()).decode())
     else:
-        screen.print(faults_table(seen.told()))
-        if seen.budgets:
-            screen.print(budgets_table(seen.budgets))
-        screen.print(
-            f"settled: {'yes' if seen.settled else 'no'}; falsely called gone: "
-            f"{', '.join(seen.false_gone) or 'nobody'}; {seen.calls} calls, {seen.carried} stood, "
-            f"{seen.unanswered} without an answer in time",
+        console.print(faults_table(result.told()))
+        if result.budgets:
+            console.print(budgets_table(result.budgets))
+        console.print(
+            f"converged: {'yes' if result.settled else 'no'}; falsely declared gone: "
+            f"{', '.join(result.false_gone) or 'none'}; {result.calls} calls, {result.carried} established, "
+            f"{result.unanswered} without a response in time",
             markup=False,
         )
-    raise typer.Exit(0 if seen.settled and not seen.false_gone and not seen.above else 1)
+    raise typer.Exit(0 if result.settled and not result.false_gone and not result.above else 1)
 
 
-def budgets_of(path: str, members: int) -> list[dict[str, Any]]:
-    """The budgets of a JSON file, checked as those of an operator file are."""
+def load_budgets(path: str, members: int) -> list[dict[str, Any]]:
+    """Returns the budgets of a JSON file, checked like those of an operator file."""
     if not path:
         return []
     import msgspec
@@ -277,20 +280,21 @@
     from softswitch.operator.tables import Allocation, Budget
 
     try:
-        found = msgspec.json.decode(Path(path).read_bytes(), type=tuple[Budget, ...])
-        at = tuple(f"127.0.0.1:{n + 1}" for n in range(members))
-        make_plan(found, Allocation(members=at, voters=at[:1]))
-        made: list[dict[str, Any]] = msgspec.to_builtins(found)
+        decoded = msgspec.json.decode(Path(path).read_bytes(), type=tuple[Budget, ...])
+        addresses = tuple(f"127.0.0.1:{n + 1}" for n in range(members))
+        make_plan(decoded, Allocation(members=addresses, voters=addresses[:1]))
+        budgets: list[dict[str, Any]] = msgspec.to_builtins(decoded)
     except OSError as e:
-        bad(f"{path}: can't be read: {e.strerror}")
+        exit_with_error(f"{path}: can't be read: {e.strerror}")
     except (msgspec.DecodeError, ValueError) as e:
-        bad(f"{path}: {e}")
-    return made
+        exit_with_error(f"{path}: {e}")
+    return budgets
 
 
-def budgets_table(told: dict[str, Any]) -> Table:
-    table = Table("budget", "whole", "in s", "most held", "most spent", "most seen at engines", "in all")
-    for name, b in told.items():
+def budgets_table(budgets: dict[str, Any]) -> Table:
+    """Returns a table of the budgets of a drill, with the largest sums that were seen."""
+    table = Table("budget", "whole", "window, s", "max held", "max spent", "max at engines", "total spent")
+    for name, b in budgets.items():
         table.add_row(
             name,
             str(b["whole"]),
@@ -303,37 +307,39 @@
     return table
 
 
-def drill_table(play: Any) -> Table:
+def drill_table(drill: Any) -> Table:
+    """Returns a table of the current state of a drill, with one row per process."""
     table = Table(
         "process",
         "site",
-        "is",
-        "says alive",
+        "intended state",
+        "alive",
         "suspect",
         "gone",
         "cut off",
-        title=f"second {play.now():.0f} of {play.day.seconds:.0f}",
+        title=f"second {drill.now():.0f} of {drill.day.seconds:.0f}",
     )
-    for n, name in enumerate(play.names):
-        said = play.views.get(n)
-        states = [m["state"] for m in said["members"]] if said else []
+    for n, name in enumerate(drill.names):
+        view = drill.views.get(n)
+        states = [m["state"] for m in view["members"]] if view else []
         table.add_row(
             name,
-            play.sites[name],
-            play.meant[n],
-            str(states.count("alive")) if said else "-",
+            drill.sites[name],
+            drill.meant[n],
+            str(states.count("alive")) if view else "-",
             str(states.count("suspect")),
             str(states.count("gone")),
-            "yes" if said and said["cut_off"] else "",
+            "yes" if view and view["cut_off"] else "",
         )
     return table
 
 
-def faults_table(told: dict[str, Any]) -> Table:
-    table = Table("fault", "who", "began s", "ended s", "all knew after s", "views equal after its end, s")
-    for f in told["faults"]:
-        shown = [f[k] for k in ("began_s", "ended_s", "known_s", "settle_s")]
-        table.add_row(f["what"], ", ".join(f["who"])[:40], *("-" if v is None else f"{v:.2f}" for v in shown))
+def faults_table(report: dict[str, Any]) -> Table:
+    """Returns a table of the faults of a drill. Times are seconds of the run."""
+    table = Table("fault", "who", "start, s", "end, s", "known to all after, s", "views equal after, s")
+    for f in report["faults"]:
+        times = [f[k] for k in ("began_s", "ended_s", "known_s", "settle_s")]
+        table.add_row(f["what"], ", ".join(f["who"])[:40], *("-" if v is None else f"{v:.2f}" for v in times))
     return table
 
 
@@ -342,44 +348,46 @@
     members: Annotated[int, typer.Option(min=2, max=20_000)] = 100,
     sites: Annotated[int, typer.Option(min=1, max=26)] = 4,
     seconds: Annotated[float, typer.Option(help="of virtual time", min=5, max=86_400)] = 60.0,
-    seed: Annotated[int, typer.Option(help="of all that is drawn")] = 7,
-    schedule: Annotated[str, typer.Option(help="a JSON file of faults; else they are drawn")] = "",
-    lose: Annotated[float, typer.Option(help="share of datagrams lost throughout", min=0, max=0.9)] = 0.0,
-    starved: Annotated[float, typer.Option(help="share of members short of processor", min=0, max=1)] = 0.0,
+    seed: Annotated[int, typer.Option(help="random seed")] = 7,
+    schedule: Annotated[str, typer.Option(help="a JSON file of faults; default: generated")] = "",
+    lose: Annotated[float, typer.Option(help="fraction of datagrams lost", min=0, max=0.9)] = 0.0,
+    starved: Annotated[float, typer.Option(help="fraction of CPU-starved members", min=0, max=1)] = 0.0,
     as_json: AsJson = False,
 ) -> None:
-    """The same code on virtual time. Exit 0 only if all settled, no rule broke and nobody was falsely called
-    gone.
+    """Simulates a fleet on virtual time with the softswitch's own code. Exits with 0 only if all views
+    converged, no invariant was violated and no member was falsely declared gone.
     """
     from softswitch.standin.faults.fleet_simulation import play
     from softswitch.standin.faults.schedule import DISKS
 
-    names = {f"n{n}": "abcdefghijklmnopqrstuvwxyz"[n % sites] for n in range(members)}
-    faults = faults_of(schedule, seed, names, seconds)
+    site_by_name = {f"n{n}": "abcdefghijklmnopqrstuvwxyz"[n % sites] for n in range(members)}
+    faults = load_faults(schedule, seed, site_by_name, seconds)
     for fault in faults:
         if fault.what in (*DISKS, "flood"):
-            bad(f"{schedule}: {fault.what!r} needs processes: play it by `softswitch fleet drill`")
-    o = play(members, sites, seconds, seed, faults, lose=lose, starved=starved)
-    told = {
+            exit_with_error(
+                f"{schedule}: {fault.what!r} needs real processes; run it with `softswitch fleet drill`"
+            )
+    outcome = play(members, sites, seconds, seed, faults, lose=lose, starved=starved)
+    report = {
         "members": members,
         "seconds": seconds,
         "seed": seed,
-        "settled": o.settled,
-        "settle_s": o.settle_s,
-        "known_s": o.know_s,
-        "false_gone": o.false_gone,
-        "falsely_suspected": o.false_suspect,
-        "bytes_s": round(o.bytes_s, 1),
-        "messages_s": round(o.messages_s, 2),
-        "broken": o.broken,
+        "settled": outcome.settled,
+        "settle_s": outcome.settle_s,
+        "known_s": outcome.know_s,
+        "false_gone": outcome.false_gone,
+        "falsely_suspected": outcome.false_suspect,
+        "bytes_s": round(outcome.bytes_s, 1),
+        "messages_s": round(outcome.messages_s, 2),
+        "broken": outcome.broken,
     }
     if as_json:
-        print(orjson.dumps(told).decode())
+        print(orjson.dumps(report).decode())
     else:
         table = Table("figure", "value")
-        for key, value in told.items():
+        for key, value in report.items():
             table.add_row(key, str(value))
         Console().print(table)
-    if o.broken:
-        print(f"willowhitch: a rule broke: {o.broken}", file=sys.stderr)
-    raise typer.Exit(0 if o.settled and not o.broken and not o.false_gone else 1)
+    if outcome.broken:
+        print(f"willowhitch: invariant violated: {outcome.broken}", file=sys.stderr)
+    raise typer.Exit(0 if outcome.settled and not outcome.broken and not outcome.false_gone else 1)
--- a/softswitch/cli/plots.py
+++ b/softswitch/cli/plots.py
@@ -1,4 +1,4 @@
-"""Pictures of traffic and plans, by matplotlib without a screen."""
+"""Figures of traffic and plans, drawn by matplotlib without a display."""
 
 from __future__ import annotations
 
@@ -6,52 +6,55 @@
 
 from matplotlib.figure import Figure
 
-from softswitch.cli.traffic import cell
+from softswitch.cli.traffic import format_cell
 from softswitch.dimension import network, peaked_traffic, planner
 from softswitch.measure.streams import Measured
 
 
-def over_time(found: Measured) -> Any:
-    """First tries a second by stream, and calls up by cell, over time."""
+def plot_over_time(measured: Measured) -> Any:
+    """Plots over time the first attempts per second of each stream and the established calls at each cell."""
     figure = Figure(figsize=(9, 6), layout="constrained")
     above, below = figure.subplots(2, 1)
-    for stream in found.streams:
+    for stream in measured.streams:
         width = max(1, len(stream.first) // 120)
         n = len(stream.first) // width
-        rates = [sum(stream.first[k * width : (k + 1) * width]) / width / found.slot for k in range(n)]
+        rates = [sum(stream.first[k * width : (k + 1) * width]) / width / measured.slot for k in range(n)]
         above.step(
-            [k * width * found.slot for k in range(n)],
+            [k * width * measured.slot for k in range(n)],
             rates,
             where="post",
-            label=f"{cell(stream.dest)}/{stream.klass}",
+            label=f"{format_cell(stream.dest)}/{stream.klass}",
         )
-    above.set(xlabel="s", ylabel="first tries a second")
+    above.set(xlabel="s", ylabel="first attempts per second")
     above.legend(fontsize="small", ncols=3)
-    for number, loads in sorted(found.erlangs.items()):
+    for number, loads in sorted(measured.erlangs.items()):
         below.step(
             range(len(loads)),
             loads,
             where="post",
-            label=f"cell {cell(number)}, peak {found.peaks.get(number, 0)}",
+            label=f"cell {format_cell(number)}, peak {measured.peaks.get(number, 0)}",
         )
     below.set(xlabel="interval", ylabel="erlangs carried")
     below.legend(fontsize="small", ncols=3)
     return figure
 
 
-def blocking_band(erlangs: float, low: float, high: float, peakedness: float) -> Any:
-    """Blocking against circuits, with the band that the traffic's interval leaves and plain Erlang B."""
+def plot_blocking(erlangs: float, low: float, high: float, peakedness: float) -> Any:
+    """Plots blocking against circuits, with the band of the traffic's confidence interval, and Erlang B."""
     top = int(peaked_traffic.circuits_for(high, 1e-3, peakedness)) + 2
     bottom = max(1, int(low * 0.6))
-    at = list(range(bottom, top + 1, max(1, (top - bottom) // 60)))
+    circuits = list(range(bottom, top + 1, max(1, (top - bottom) // 60)))
     figure = Figure(figsize=(8, 5), layout="constrained")
     axes = figure.subplots()
-    lines = [[peaked_traffic.blocking(n, a, peakedness) for n in at] for a in (low, erlangs, high)]
-    axes.fill_between(at, lines[0], lines[2], alpha=0.25, label=f"{low:g} to {high:g} erlangs")
-    axes.plot(at, lines[1], label=f"{erlangs:g} erlangs, Z {peakedness:g}")
+    lines = [[peaked_traffic.blocking(n, a, peakedness) for n in circuits] for a in (low, erlangs, high)]
+    axes.fill_between(circuits, lines[0], lines[2], alpha=0.25, label=f"{low:g} to {high:g} erlangs")
+    axes.plot(circuits, lines[1], label=f"{erlangs:g} erlangs, Z {peakedness:g}")
     if peakedness != 1:
         axes.plot(
-            at, [peaked_traffic.blocking(n, erlangs) for n in at], linestyle="--", label="plain Erlang B"
+            circuits,
+            [peaked_traffic.blocking(n, erlangs) for n in circuits],
+            linestyle="--",
+            label="plain Erlang B",
         )
     axes.set(xlabel="circuits", ylabel="blocking", yscale="log")
     axes.grid(alpha=0.3)
@@ -59,24 +62,27 @@
     return figure
 
 
-def of_plan(groups: list[network.Group], found: planner.Plan, ends: dict[str, network.Service]) -> Any:
-    """Circuits and carried load by group; loss of each stream over the estimate."""
+def plot_plan(groups: list[network.Group], plan: planner.Plan, ends: dict[str, network.Service]) -> Any:
+    """Plots circuits and carried load of each group, and the loss of each stream by `ends`.
+
+    ends: service by end of the estimates' confidence interval: low, middle, high.
+    """
     figure = Figure(figsize=(9, 6), layout="constrained")
     above, below = figure.subplots(2, 1)
     names = [g.name for g in groups]
-    above.bar(names, [found.circuits[n] for n in names], label="circuits", alpha=0.4)
-    above.bar(names, [found.service.loads[n].carried for n in names], width=0.5, label="erlangs carried")
+    above.bar(names, [plan.circuits[n] for n in names], label="circuits", alpha=0.4)
+    above.bar(names, [plan.service.loads[n].carried for n in names], width=0.5, label="erlangs carried")
     above.legend()
-    streams = list(found.service.lost)
-    for where, service in ends.items():
+    streams = list(plan.service.lost)
+    for end, service in ends.items():
         below.plot(
             streams,
             [max(1e-6, service.lost[s]) for s in streams],
             marker="o",
             linestyle="",
-            label=f"at the {where} end",
+            label=f"at the {end} end",
         )
-    below.set(yscale="log", ylabel="lost from end to end")
+    below.set(yscale="log", ylabel="end-to-end loss")
     below.legend()
     for axes in (above, below):
         axes.tick_params(axis="x", rotation=45)
--- a/softswitch/cli/soak.py
+++ b/softswitch/cli/soak.py
@@ -1,4 +1,4 @@
-"""`softswitch soak`: real softswitches among stand-ins, drawn from a seed, held against every rule."""
+"""`softswitch soak`: runs real softswitches with stand-ins on generated plans and checks all rules."""
 
 from __future__ import annotations
 
@@ -12,67 +12,71 @@
 from rich.console import Console
 from rich.table import Table
 
-from softswitch.cli import bad
+from softswitch.cli import exit_with_error
 from softswitch.standin.soak.plan import draw
 from softswitch.standin.soak.run import Soak
 
-GRACE = 90.0  # s beyond its length that a soak may take to start and to end
-SHOWN_BROKEN = 5  # broken rules of a seed, with the last events of their calls
+START_AND_END_TIMEOUT = 90.0  # s that a soak may take to start and to end, besides its duration
+MAX_SHOWN_VIOLATIONS = 5  # per seed, each with the last events of its call
 
 app = typer.Typer(add_completion=False, pretty_exceptions_enable=False)
 
-Report = dict[str, Any]  # one outcome as JSON has it
+Report = dict[str, Any]  # the outcome of one soak, as in the JSON output
 
 
 def application() -> typer.Typer:
-    """The command."""
+    """Returns the Typer application."""
     return app
 
 
 @app.command()
 def soak(
-    seed: Annotated[int, typer.Option(help="the first seed; it draws all that is played")] = 1,
-    seeds: Annotated[int, typer.Option(help="how many, one after the other", min=1, max=10_000)] = 1,
-    seconds: Annotated[float, typer.Option(help="how long calls come, for each", min=10, max=86_400)] = 25.0,
-    jobs: Annotated[int, typer.Option(help="seeds side by side", min=1, max=64)] = 1,
-    plant: Annotated[str, typer.Option(help="a fault to plant in the softswitches; `list` names them")] = "",
-    as_json: Annotated[bool, typer.Option("--json", help="one JSON object a line, no table")] = False,
+    seed: Annotated[int, typer.Option(help="the first seed; it determines the whole plan")] = 1,
+    seeds: Annotated[int, typer.Option(help="number of consecutive seeds", min=1, max=10_000)] = 1,
+    seconds: Annotated[
+        float, typer.Option(help="seconds of traffic for each seed", min=10, max=86_400)
+    ] = 25.0,
+    jobs: Annotated[int, typer.Option(help="number of seeds that run in parallel", min=1, max=64)] = 1,
+    plant: Annotated[str, typer.Option(help="a fault to inject; `list` shows all names")] = "",
+    as_json: Annotated[bool, typer.Option("--json", help="one JSON object per line, no table")] = False,
 ) -> None:
-    """Plays soaks. Exit 0 only if no rule was broken."""
+    """Runs soaks. Exits with 0 only if no rule was violated."""
     _check_plant(plant)
     if seeds == 1:
         reports = [orjson.loads(orjson.dumps(Soak(draw(seed, seconds), plant).play().report()))]
     else:
         with ThreadPoolExecutor(jobs) as pool:
-            reports = list(pool.map(lambda n: _play_apart(n, seconds, plant), range(seed, seed + seeds)))
+            reports = list(pool.map(lambda n: _run_in_process(n, seconds, plant), range(seed, seed + seeds)))
     if as_json:
         for report in reports:
             print(orjson.dumps(report).decode())
     else:
         Console(width=160).print(_table(reports))
         for report in reports:
-            _print_broken(report)
+            _print_violations(report)
     raise SystemExit(1 if any(report["broken"] for report in reports) else 0)
 
 
 def _check_plant(plant: str) -> None:
     if not plant:
         return
-    from softswitch.standin.soak.planted import PLANTS  # loads the program
+    from softswitch.standin.soak.planted import PLANTS  # imports the whole softswitch
 
     if plant not in PLANTS:
-        bad(f"--plant {plant}: one of {', '.join(PLANTS)}")
+        exit_with_error(f"--plant {plant}: one of {', '.join(PLANTS)}")
 
 
-def _play_apart(seed: int, seconds: float, plant: str) -> Report:
-    """One seed in a process of its own."""
-    words = ["soak", "--seed", str(seed), "--seconds", str(seconds), "--plant", plant, "--json"]
-    command = [sys.executable, "-m", "softswitch.cli", *words]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=seconds + GRACE)
+def _run_in_process(seed: int, seconds: float, plant: str) -> Report:
+    """Runs the soak of one seed in a separate process."""
+    arguments = ["soak", "--seed", str(seed), "--seconds", str(seconds), "--plant", plant, "--json"]
+    command = [sys.executable, "-m", "softswitch.cli", *arguments]
+    completed = subprocess.run(
+        command, capture_output=True, text=True, timeout=seconds + START_AND_END_TIMEOUT
+    )
     try:
-        report: Report = orjson.loads(done.stdout)
+        report: Report = orjson.loads(completed.stdout)
     except orjson.JSONDecodeError:
-        bad(f"seed {seed} ended with {done.returncode}: {done.stderr[-500:]}")
+        exit_with_error(f"seed {seed}: exit code {completed.returncode}: {completed.stderr[-500:]}")
     return report
 
 
@@ -92,15 +96,17 @@
         table.add_column(name, justify="left" if name in ("signals", "broken") else "right")
     for report in reports:
         signals = ", ".join(f"{name} {n}" for name, n in sorted(report["signals"].items()))
-        kinds = sorted({broken["rule"] for broken in report["broken"]})
+        rules = sorted({violation["rule"] for violation in report["broken"]})
         figures = (report[name] for name in ("processes", "calls", "answers", "late", "attempts", "releases"))
-        broken = f"{len(report['broken'])}: {'; '.join(kinds)}" if kinds else "none"
-        table.add_row(str(report["plan"]["seed"]), *map(str, figures), signals, broken)
+        violations = f"{len(report['broken'])}: {'; '.join(rules)}" if rules else "none"
+        table.add_row(str(report["plan"]["seed"]), *map(str, figures), signals, violations)
     return table
 
 
-def _print_broken(report: Report) -> None:
-    for broken in report["broken"][:SHOWN_BROKEN]:
-        print(f"seed {report['plan']['seed']}: {broken['rule']}: {broken['who']}: {broken['detail']}")
-        for event in broken["events"]:
+def _print_violations(report: Report) -> None:
+    for violation in report["broken"][:MAX_SHOWN_VIOLATIONS]:
+        print(
+            f"seed {report['plan']['seed']}: {violation['rule']}: {violation['who']}: {violation['detail']}"
+        )
+        for event in violation["events"]:
             print(f"    {event}")
--- a/softswitch/cli/traffic.py
+++ b/softswitch/cli/traffic.py
@@ -9,12 +9,13 @@
 from rich.console import Console
 from rich.table import Table
 
-from softswitch.cli import bad
+from softswitch.cli import exit_with_error
 from softswitch.measure.record import OTHER, OUTCOMES, histogram
 from softswitch.measure.recordfile import BadRecord, read
 
 
 def application() -> typer.Typer:
+    """Returns the Typer application."""
     return app
 
 
@@ -28,33 +29,34 @@
     """Traffic records."""
 
 
-def cell(number: int) -> str:
+def format_cell(number: int) -> str:
+    """Returns a cell's number as text; `other` for the cells beyond the record's limit, `-` for none."""
     return "other" if number == OTHER else "-" if number < 0 else str(number)
 
 
 def summary(entries: list[dict[str, Any]]) -> dict[str, Any]:
-    """Totals over all entries of a record: by route and class, and by cell and class."""
+    """Returns the totals over all entries of a record, by route and class, and by cell and class."""
     routes: dict[tuple[int, int, str], dict[str, Any]] = {}
-    seats: dict[tuple[int, str], dict[str, Any]] = {}
+    occupancies: dict[tuple[int, str], dict[str, Any]] = {}
     span = sum(e["to"] - e["from"] for e in entries)
     for entry in entries:
         for r in entry["routes"]:
-            seen = routes.setdefault(
+            route = routes.setdefault(
                 (r["tried"], r["took"], r["class"]), dict.fromkeys(OUTCOMES, 0) | {"delay": histogram()}
             )
-            for what in OUTCOMES:
-                seen[what] += r[what]
+            for outcome in OUTCOMES:
+                route[outcome] += r[outcome]
             if r["delay"]:
-                seen["delay"].add(histogram(r["delay"]))
+                route["delay"].add(histogram(r["delay"]))
         for o in entry["occupied"]:
-            seat = seats.setdefault(
+            occupancy = occupancies.setdefault(
                 (o["cell"], o["class"]), {"call_ms": 0.0, "peak": 0, "ended": 0, "held": histogram()}
             )
-            seat["call_ms"] += o["call_ms"]
-            seat["ended"] += o["ended"]
-            seat["peak"] = max(seat["peak"], o["peak"])
+            occupancy["call_ms"] += o["call_ms"]
+            occupancy["ended"] += o["ended"]
+            occupancy["peak"] = max(occupancy["peak"], o["peak"])
             if o["held"]:
-                seat["held"].add(histogram(o["held"]))
+                occupancy["held"].add(histogram(o["held"]))
     return {
         "seconds": span / 1000,
         "intervals": len(entries),
@@ -79,50 +81,51 @@
                 "hold_s": s["call_ms"] / s["ended"] / 1000 if s["ended"] else None,
                 "hold_p95_s": s["held"].get_value_at_percentile(95) / 1000,
             }
-            for (k, c), s in sorted(seats.items())
+            for (k, c), s in sorted(occupancies.items())
         ],
     }
 
 
 @app.command()
 def show(
-    file: Annotated[str, typer.Argument(help="a file that a softswitch wrote")],
+    file: Annotated[str, typer.Argument(help="a traffic record written by a softswitch")],
     as_json: Annotated[bool, typer.Option("--json", help="one JSON object")] = False,
 ) -> None:
-    """What a record holds: outcomes by route, load by cell."""
+    """Shows the contents of a traffic record: outcomes by route, load by cell."""
     try:
         contents = read(file)
     except BadRecord as e:
-        bad(e)
-    told = summary(contents.entries)
+        exit_with_error(e)
+    totals = summary(contents.entries)
     if as_json:
-        print(orjson.dumps({"file": file, "cut": contents.cut} | told).decode())
+        print(orjson.dumps({"file": file, "cut": contents.cut} | totals).decode())
         return
-    screen = Console()
+    console = Console()
     if contents.cut:
-        screen.print(f"{file}: {contents.cut}", markup=False)
-    screen.print(f"{told['intervals']} intervals, {told['seconds']:.0f} s")
-    screen.print(routes_table(told["routes"]))
-    screen.print(cells_table(told["cells"]))
+        console.print(f"{file}: {contents.cut}", markup=False)
+    console.print(f"{totals['intervals']} intervals, {totals['seconds']:.0f} s")
+    console.print(routes_table(totals["routes"]))
+    console.print(cells_table(totals["cells"]))
 
 
 def routes_table(rows: list[dict[str, Any]]) -> Table:
-    seen = [w for w in OUTCOMES if any(r[w] for r in rows)]
+    """Returns a table of outcomes by route and class, with a column for each outcome that occurred."""
+    occurred = [w for w in OUTCOMES if any(r[w] for r in rows)]
     table = Table(
         "tried",
         "took",
         "class",
-        *(w.replace("_", " ") for w in seen),
+        *(w.replace("_", " ") for w in occurred),
         "p50 ms",
         "p99 ms",
-        title="set-ups by route",
+        title="call setups by route",
     )
     for r in rows:
         table.add_row(
-            cell(r["tried"]),
-            cell(r["took"]),
+            format_cell(r["tried"]),
+            format_cell(r["took"]),
             r["class"],
-            *(str(r[w]) for w in seen),
+            *(str(r[w]) for w in occurred),
             f"{r['delay_p50_ms']:.0f}",
             f"{r['delay_p99_ms']:.0f}",
         )
@@ -130,12 +133,13 @@
 
 
 def cells_table(rows: list[dict[str, Any]]) -> Table:
+    """Returns a table of load and holding times by cell and class."""
     table = Table(
-        "cell", "class", "erlangs", "peak", "ended", "mean hold s", "p95 hold s", title="calls that stood"
+        "cell", "class", "erlangs", "peak", "ended", "mean hold s", "p95 hold s", title="established calls"
     )
     for s in rows:
         table.add_row(
-            cell(s["cell"]),
+            format_cell(s["cell"]),
             s["class"],
             f"{s['erlangs']:.2f}",
             str(s["peak"]),
--- a/softswitch/cli/trunks.py
+++ b/softswitch/cli/trunks.py
@@ -1,4 +1,4 @@
-"""`softswitch trunks`: how many circuits a trunk group needs, and what blocking it has."""
+"""`softswitch trunks`: dimensions trunk groups: blocking, circuits, traffic estimates, plans and plots."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
 from rich.console import Console
 from rich.table import Table
 
-from softswitch.cli import bad
-from softswitch.cli.traffic import cell
+from softswitch.cli import exit_with_error
+from softswitch.cli.traffic import format_cell
 from softswitch.dimension import loss, network, peaked_traffic, planner, report
 from softswitch.dimension.loss import OutOfRange
 from softswitch.dimension.traffic import Interval, Sample
 from softswitch.measure.recordfile import BadRecord, read
 from softswitch.measure.streams import Measured, Stream, measured
 
-POOL_FROM = 24  # groups from which a plan is worked out by several processes
+MIN_GROUPS_FOR_POOL = 24  # plans with at least this many groups are computed by several processes
 
 
 def application() -> typer.Typer:
+    """Returns the Typer application."""
     return app
 
 
@@ -35,22 +36,27 @@
     add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False, help="Trunk groups."
 )
 Json = Annotated[bool, typer.Option("--json", help="one JSON object")]
-Erlangs = Annotated[float, typer.Option(help="offered traffic, without redials")]
-Peakedness = Annotated[float, typer.Option(help="variance over mean: 1 random, over 1 peaky, under 1 smooth")]
+Erlangs = Annotated[float, typer.Option(help="offered traffic without redials")]
+Peakedness = Annotated[
+    float, typer.Option(help="variance-to-mean ratio: 1 random, above 1 peaky, below 1 smooth")
+]
 Variance = Annotated[
-    float, typer.Option("--day-variance", help="variance of the daily traffic, in erlangs squared")
+    float, typer.Option("--day-variance", help="day-to-day variance of the traffic, in erlangs squared")
 ]
 Again = Annotated[
-    float, typer.Option("--redials", help="chance that a blocked call dials again, 0 to under 1")
+    float,
+    typer.Option("--redials", help="probability that a blocked call is redialed, at least 0 and below 1"),
 ]
 
 
-def tell(told: dict[str, Any], as_json: bool, *lines: str) -> None:
-    print(orjson.dumps(told).decode() if as_json else "\n".join(lines))
+def print_result(result: dict[str, Any], as_json: bool, *lines: str) -> None:
+    """Prints a result as JSON, or the lines."""
+    print(orjson.dumps(result).decode() if as_json else "\n".join(lines))
 
 
-def percent(share: float) -> str:
-    return f"{100 * share:.4g}%"
+def percent(fraction: float) -> str:
+    """Returns a fraction as a percentage with four significant digits."""
+    return f"{100 * fraction:.4g}%"
 
 
 @app.command()
@@ -62,75 +68,76 @@
     redials: Again = 0.0,
     as_json: Json = False,
 ) -> None:
-    """The share of calls that find no circuit."""
+    """Computes the fraction of calls that find no free circuit."""
     try:
         total = erlangs
         if redials:
             if peakedness != 1.0 or day_variance:
                 raise OutOfRange(
-                    "--redials goes with random traffic alone: leave out --peakedness and --day-variance"
+                    "--redials goes only with random traffic: omit --peakedness and --day-variance"
                 )
-            share, total = loss.erlang_b_redials(circuits, erlangs, redials)
+            fraction, total = loss.erlang_b_redials(circuits, erlangs, redials)
         elif day_variance:
-            share = peaked_traffic.day_to_day(circuits, erlangs, day_variance, peakedness)
+            fraction = peaked_traffic.day_to_day(circuits, erlangs, day_variance, peakedness)
         else:
-            share = peaked_traffic.blocking(circuits, erlangs, peakedness)
+            fraction = peaked_traffic.blocking(circuits, erlangs, peakedness)
         plain = loss.erlang_b(circuits, erlangs)
     except OutOfRange as e:
-        bad(e)
-    told = {
-        "blocking": share,
+        exit_with_error(e)
+    result = {
+        "blocking": fraction,
         "erlangs": erlangs,
         "circuits": circuits,
         "peakedness": peakedness,
         "erlang_b": plain,
-        "carried_erlangs": total * (1 - share),
+        "carried_erlangs": total * (1 - fraction),
         "offered_with_redials": total,
     }
-    tell(
-        told,
+    print_result(
+        result,
         as_json,
-        f"blocking {percent(share)} of {total:g} erlangs offered to {circuits:g} circuits",
-        *([f"plain Erlang B: {percent(plain)}"] if share != plain else []),
+        f"blocking {percent(fraction)} of {total:g} erlangs offered to {circuits:g} circuits",
+        *([f"plain Erlang B: {percent(plain)}"] if fraction != plain else []),
     )
 
 
 @app.command()
 def circuits(
     erlangs: Erlangs,
-    target: Annotated[float, typer.Option(help="blocking, such as 0.01")],
+    target: Annotated[float, typer.Option(help="allowed blocking, such as 0.01")],
     peakedness: Peakedness = 1.0,
     as_json: Json = False,
 ) -> None:
-    """The circuits that a stated blocking needs."""
+    """Computes the circuits that keep the blocking within a target."""
     try:
         exact = peaked_traffic.circuits_for(erlangs, target, peakedness)
         plain = loss.whole(loss.circuits_for(erlangs, target))
         needed = loss.whole(exact)
-        share = peaked_traffic.blocking(needed, erlangs, peakedness)
+        fraction = peaked_traffic.blocking(needed, erlangs, peakedness)
     except OutOfRange as e:
-        bad(e)
-    told = {
+        exit_with_error(e)
+    result = {
         "circuits": needed,
         "exact": exact,
-        "blocking": share,
+        "blocking": fraction,
         "erlangs": erlangs,
         "target": target,
         "peakedness": peakedness,
         "erlang_b_circuits": plain,
     }
-    tell(
-        told,
+    print_result(
+        result,
         as_json,
-        f"{needed} circuits for {erlangs:g} erlangs at {percent(target)}: blocking {percent(share)}",
+        f"{needed} circuits for {erlangs:g} erlangs at {percent(target)}: blocking {percent(fraction)}",
         *([f"plain Erlang B: {plain}"] if needed != plain else []),
     )
 
 
-# from a record
+# estimates from traffic records
 
 
-def sample_of(stream: Stream) -> Sample:
+def make_sample(stream: Stream) -> Sample:
+    """Returns the measurements of a stream in the form that the estimator takes."""
     import numpy as np
 
     return Sample(
@@ -144,59 +151,61 @@
     )
 
 
-def records(files: list[str]) -> Measured:
+def load_records(files: list[str]) -> Measured:
+    """Returns the streams of traffic records; exits with one line if a file is invalid."""
     try:
         return measured([read(file) for file in files])
     except BadRecord as e:
-        bad(e)
+        exit_with_error(e)
 
 
-def told_interval(i: Interval) -> dict[str, float]:
+def interval_as_dict(i: Interval) -> dict[str, float]:
+    """Returns a confidence interval for JSON."""
     return {"value": i.value, "low": i.low, "high": i.high, "level": i.level}
 
 
 @app.command()
 def estimate(
-    files: Annotated[list[str], typer.Argument(help="traffic records, one or more softswitches'")],
-    target: Annotated[float, typer.Option(help="blocking that circuits are worked out for")] = 0.01,
-    level: Annotated[float, typer.Option(help="confidence of the intervals")] = 0.95,
-    precision: Annotated[float, typer.Option(help="half-width wanted, as a share")] = 0.05,
-    plan_file: Annotated[str, typer.Option("--plan", help="write a file for `trunks plan` here")] = "",
+    files: Annotated[list[str], typer.Argument(help="traffic records of one or more softswitches")],
+    target: Annotated[float, typer.Option(help="allowed blocking for which circuits are computed")] = 0.01,
+    level: Annotated[float, typer.Option(help="confidence level of the intervals")] = 0.95,
+    precision: Annotated[float, typer.Option(help="desired relative half-width")] = 0.05,
+    plan_file: Annotated[str, typer.Option("--plan", help="file to write for `trunks plan`")] = "",
     as_json: Json = False,
 ) -> None:
-    """Offered traffic of each destination and class, with intervals, and the circuits that it needs."""
-    found = records(files)
-    notes, short = list(found.notes), []
+    """Estimates the offered traffic of each destination and class, and the circuits that it needs."""
+    measurements = load_records(files)
+    notes, too_short = list(measurements.notes), []
     rows: list[dict[str, Any]] = []
     streams: list[dict[str, Any]] = []
-    for stream in found.streams:
-        name = f"{cell(stream.dest)}/{stream.klass}"
+    for stream in measurements.streams:
+        name = f"{format_cell(stream.dest)}/{stream.klass}"
         try:
-            best, whole = report.steady(sample_of(stream), level, precision)
+            best, entire = report.steady(make_sample(stream), level, precision)
             need = report.circuits(best, target)
         except OutOfRange as e:
-            short.append({"dest": stream.dest, "class": stream.klass, "why": str(e)})
+            too_short.append({"dest": stream.dest, "class": stream.klass, "why": str(e)})
             notes.append(f"{name}: {e}")
             continue
-        notes += report.sentences(name, best, whole, precision)
-        tries = stream.carried + stream.lost_tries
+        notes += report.sentences(name, best, entire, precision)
+        attempts = stream.carried + stream.lost_tries
         rows.append(
             {
                 "dest": stream.dest,
                 "class": stream.klass,
-                "erlangs": told_interval(best.erlangs),
-                "bootstrap": told_interval(best.bootstrap) if best.bootstrap else None,
-                "rate": told_interval(best.rate),
-                "hold_s": told_interval(best.hold),
-                "peakedness": told_interval(best.peakedness),
+                "erlangs": interval_as_dict(best.erlangs),
+                "bootstrap": interval_as_dict(best.bootstrap) if best.bootstrap else None,
+                "rate": interval_as_dict(best.rate),
+                "hold_s": interval_as_dict(best.hold),
+                "peakedness": interval_as_dict(best.peakedness),
                 "method": best.method,
                 "seconds": best.seconds,
                 "first": best.first,
-                "redial_share": whole.redial_share,
-                "steady": whole.steady,
-                "segments": [{"since": s.since, "to": s.to, "rate": s.rate} for s in whole.segments],
+                "redial_share": entire.redial_share,
+                "steady": entire.steady,
+                "segments": [{"since": s.since, "to": s.to, "rate": s.rate} for s in entire.segments],
                 "more_seconds": best.more_seconds,
-                "lost_share": stream.lost_tries / tries if tries else 0.0,
+                "lost_share": stream.lost_tries / attempts if attempts else 0.0,
                 "circuits": {
                     "low": need.low,
                     "middle": need.middle,
@@ -209,7 +218,7 @@
         streams.append(
             {
                 "name": name,
-                "group": cell(stream.dest),
+                "group": format_cell(stream.dest),
                 "class": stream.klass,
                 "erlangs": best.erlangs.value,
                 "low": best.erlangs.low,
@@ -225,11 +234,11 @@
         try:
             Path(plan_file).write_bytes(text)
         except OSError as e:
-            bad(f"{plan_file}: {e.strerror}; name a file that can be written")
+            exit_with_error(f"{plan_file}: {e.strerror}; name a writable file")
     if as_json:
         print(
             orjson.dumps(
-                {"streams": rows, "too_short": short, "notes": notes, "seconds": found.seconds}
+                {"streams": rows, "too_short": too_short, "notes": notes, "seconds": measurements.seconds}
             ).decode()
         )
         return
@@ -241,29 +250,29 @@
         "peakedness",
         f"circuits for {percent(target)}",
         "Erlang B",
-        "lost now",
-        title=f"offered traffic over {found.seconds:.0f} s, {100 * level:.0f}% intervals",
+        "loss now",
+        title=f"offered traffic over {measurements.seconds:.0f} s, {100 * level:.0f}% intervals",
     )
     for r in rows:
         table.add_row(
-            cell(r["dest"]),
+            format_cell(r["dest"]),
             r["class"],
-            _span(r["erlangs"]),
-            _span(r["hold_s"]),
-            _span(r["peakedness"]),
+            _format_interval(r["erlangs"]),
+            _format_interval(r["hold_s"]),
+            _format_interval(r["peakedness"]),
             f"{r['circuits']['low']} to {r['circuits']['high']}",
             str(r["circuits"]["erlang_b"]),
             percent(r["lost_share"]),
         )
-    screen = Console()
-    screen.print(table)
+    console = Console()
+    console.print(table)
     for note in notes:
-        screen.print(note, markup=False, highlight=False)
+        console.print(note, markup=False, highlight=False)
     if not rows:
         raise typer.Exit(1)
 
 
-def _span(i: dict[str, float]) -> str:
+def _format_interval(i: dict[str, float]) -> str:
     return f"{i['value']:.3g} ({i['low']:.3g} to {i['high']:.3g})"
 
 
@@ -271,7 +280,7 @@
 
 
 class PlanGroup(msgspec.Struct, forbid_unknown_fields=True):
-    """A group as a plan file has it."""
+    """A trunk group of a plan file."""
 
     name: str
     module: int = 1
@@ -283,7 +292,7 @@
 
 
 class PlanStream(msgspec.Struct, forbid_unknown_fields=True):
-    """A stream as a plan file has it; its target is its class's, else the file's."""
+    """A stream of a plan file. Without a target of its own it has its class's, else the file's."""
 
     name: str
     group: str
@@ -296,7 +305,7 @@
 
 
 class PlanFile(msgspec.Struct, forbid_unknown_fields=True):
-    """What `trunks plan` reads."""
+    """The contents of a plan file."""
 
     groups: list[PlanGroup]
     streams: list[PlanStream]
@@ -304,83 +313,90 @@
     targets: dict[str, float] = {}  # by class
 
 
-def network_of(file: str) -> tuple[list[network.Group], list[network.Stream]]:
-    """Groups and streams of a plan file; ends the command with one line where it can't be read."""
+def load_network(file: str) -> tuple[list[network.Group], list[network.Stream]]:
+    """Returns the groups and streams of a plan file; exits with one line if the file is invalid."""
     try:
-        told = msgspec.json.decode(Path(file).read_bytes(), type=PlanFile)
+        plan_file = msgspec.json.decode(Path(file).read_bytes(), type=PlanFile)
     except OSError as e:
-        bad(f"{file}: can't be read: {e.strerror}")
+        exit_with_error(f"{file}: can't be read: {e.strerror}")
     except msgspec.DecodeError as e:
-        bad(f"{file}: {e}; docs/trunks.md shows the form")
-    classes = {s.klass for s in told.streams}
-    for klass in told.targets:
-        if klass not in classes:
-            bad(f"{file}: targets: unknown class {klass!r}; the streams have {', '.join(sorted(classes))}")
+        exit_with_error(f"{file}: {e}; docs/trunks.md describes the format")
+    classes = {s.klass for s in plan_file.streams}
+    for call_class in plan_file.targets:
+        if call_class not in classes:
+            exit_with_error(
+                f"{file}: targets: unknown class {call_class!r}; "
+                f"the streams have {', '.join(sorted(classes))}"
+            )
     groups = [
         network.Group(g.name, g.module, g.price, g.most, g.overflow, g.reserve, g.circuits)
-        for g in told.groups
+        for g in plan_file.groups
     ]
     streams = [
         network.Stream(
             s.name,
             s.group,
             s.erlangs,
-            told.targets.get(s.klass, told.target) if s.target is None else s.target,
+            plan_file.targets.get(s.klass, plan_file.target) if s.target is None else s.target,
             s.peakedness,
             s.low,
             s.high,
         )
-        for s in told.streams
+        for s in plan_file.streams
     ]
     try:
         network.check(groups, streams)
     except OutOfRange as e:
-        bad(f"{file}: {e}")
+        exit_with_error(f"{file}: {e}")
     return groups, streams
 
 
-PlanPath = Annotated[str, typer.Argument(help="a plan file, JSON; `trunks estimate --plan` writes one")]
-At = Annotated[str, typer.Option("--at", help="end of the estimates to plan for: low, middle or high")]
+PlanPath = Annotated[str, typer.Argument(help="a plan file in JSON, as `trunks estimate --plan` writes it")]
+At = Annotated[
+    str, typer.Option("--at", help="end of the confidence intervals to plan for: low, middle or high")
+]
 
 
 @contextmanager
-def quiet() -> Iterator[None]:
-    """Keeps the solver's banner, which it writes past Python, out of our own output; in a pool's processes
-    too.
+def suppress_solver_output() -> Iterator[None]:
+    """Redirects file descriptor 1 to /dev/null: the solver writes its banner there without Python's stdout.
+    The processes of a pool inherit the redirection.
     """
     sys.stdout.flush()
-    kept, none = os.dup(1), os.open(os.devnull, os.O_WRONLY)
-    os.dup2(none, 1)
+    stdout_copy, null = os.dup(1), os.open(os.devnull, os.O_WRONLY)
+    os.dup2(null, 1)
     try:
         yield
     finally:
-        os.dup2(kept, 1)
-        os.close(kept)
-        os.close(none)
+        os.dup2(stdout_copy, 1)
+        os.close(stdout_copy)
+        os.close(null)
 
 
-def planned(
-    file: str, where: str, check: bool = False
+def make_plan(
+    file: str, end: str, check: bool = False
 ) -> tuple[list[network.Group], list[network.Stream], planner.Plan]:
-    if where not in ("low", "middle", "high"):
-        bad(f"--at is {where!r}; it is low, middle or high")
-    groups, streams = network_of(file)
+    """Returns groups, streams and the cheapest plan of a plan file; exits with one line if there is none."""
+    if end not in ("low", "middle", "high"):
+        exit_with_error(f"--at is {end!r}; it must be low, middle or high")
+    groups, streams = load_network(file)
     try:
-        with quiet():
+        with suppress_solver_output():
             if check:
-                return groups, streams, planner.checked(groups, streams, where)[0]
-            if len(groups) >= POOL_FROM:
+                return groups, streams, planner.checked(groups, streams, end)[0]
+            if len(groups) >= MIN_GROUPS_FOR_POOL:
                 with ProcessPoolExecutor() as pool:
-                    return groups, streams, planner.plan(groups, streams, where, pool.map)
-            return groups, streams, planner.plan(groups, streams, where)
+                    return groups, streams, planner.plan(groups, streams, end, pool.map)
+            return groups, streams, planner.plan(groups, streams, end)
     except OutOfRange as e:
-        bad(f"{file}: {e}")
+        exit_with_error(f"{file}: {e}")
     except planner.Infeasible as e:
-        print(f"willowhitch: {file}: no plan: {e}; allow more modules or a larger target", file=sys.stderr)
+        print(f"willowhitch: {file}: no plan: {e}; allow more modules or a higher target", file=sys.stderr)
         raise SystemExit(1) from None
 
 
-def told_service(service: network.Service) -> dict[str, Any]:
+def service_as_dict(service: network.Service) -> dict[str, Any]:
+    """Returns the loss of each stream and the load of each group for JSON."""
     return {
         "lost": service.lost,
         "groups": {
@@ -400,29 +416,27 @@
 def plan(
     file: PlanPath,
     at: At = "high",
-    check: Annotated[
-        bool, typer.Option("--check", help="play the plan, and plan again where it misses")
-    ] = False,
+    check: Annotated[bool, typer.Option("--check", help="simulate the plan; replan if it misses")] = False,
     as_json: Json = False,
 ) -> None:
-    """The cheapest circuits that meet every target; exit code 1 where nothing that can be bought does."""
-    groups, streams, found = planned(file, at, check)
-    ends = planner.what_if(groups, streams, found.circuits)
+    """Finds the cheapest circuits that meet all targets. Exits with 1 if no available choice meets them."""
+    groups, streams, best = make_plan(file, at, check)
+    ends = planner.what_if(groups, streams, best.circuits)
     if as_json:
         print(
             orjson.dumps(
                 {
-                    "cost": found.cost,
-                    "modules": found.modules,
-                    "circuits": found.circuits,
+                    "cost": best.cost,
+                    "modules": best.modules,
+                    "circuits": best.circuits,
                     "at": at,
-                    "proved": found.monotone,
-                    "service": {w: told_service(s) for w, s in ends.items()},
+                    "proved": best.monotone,
+                    "service": {end: service_as_dict(s) for end, s in ends.items()},
                 }
             ).decode()
         )
         return
-    screen = Console()
+    console = Console()
     table = Table(
         "group",
         "modules",
@@ -430,31 +444,34 @@
         "offered",
         "Z",
         "blocking",
-        title=f"cost {found.cost:g}, traffic at the {at} end",
+        title=f"cost {best.cost:g}, traffic at the {at} end",
     )
     for g in groups:
-        load = found.service.loads[g.name]
+        load = best.service.loads[g.name]
         table.add_row(
             g.name,
-            str(found.modules[g.name]),
+            str(best.modules[g.name]),
             str(load.circuits),
             f"{load.offered:.4g}",
             f"{load.peakedness:.3g}",
             percent(load.blocking),
         )
-    screen.print(table)
-    screen.print(_ends_table(streams, ends))
-    if not found.monotone:
-        screen.print("A choice was seen that lost more with more circuits: the cost may not be the least.")
+    console.print(table)
+    console.print(_ends_table(streams, ends))
+    if not best.monotone:
+        console.print("More circuits increased the loss in at least one case: the cost may not be minimal.")
 
 
 def _ends_table(streams: list[network.Stream], ends: dict[str, network.Service]) -> Table:
-    table = Table("stream", "may lose", *(f"loses at {where}" for where in ends))
+    table = Table("stream", "allowed loss", *(f"loss at {end}" for end in ends))
     for s in streams:
         table.add_row(
             s.name,
             percent(s.target),
-            *(percent(e.lost[s.name]) + (" !" if s.name in e.missed(streams) else "") for e in ends.values()),
+            *(
+                percent(service.lost[s.name]) + (" !" if s.name in service.missed(streams) else "")
+                for service in ends.values()
+            ),
         )
     return table
 
@@ -462,37 +479,37 @@
 @app.command()
 def whatif(
     file: PlanPath,
-    lose: Annotated[str, typer.Option(help="a group that is out of use")] = "",
-    factor: Annotated[float, typer.Option(help="times the traffic")] = 1.0,
-    circuits: Annotated[str, typer.Option(help="NAME=N,...; else those of the plan at its high end")] = "",
+    lose: Annotated[str, typer.Option(help="a group that is out of service")] = "",
+    factor: Annotated[float, typer.Option(help="factor that the traffic is multiplied by")] = 1.0,
+    circuits: Annotated[str, typer.Option(help="NAME=N,...; default: the plan's for the high end")] = "",
     as_json: Json = False,
 ) -> None:
-    """Loss from end to end with given circuits, a group lost, or other traffic, over the whole estimate."""
+    """Computes the end-to-end loss with given circuits, without a group, or with other traffic."""
     if circuits:
-        groups, streams = network_of(file)
-        given: dict[str, int] = {}
-        for part in circuits.split(","):
-            name, _, number = part.partition("=")
+        groups, streams = load_network(file)
+        circuits_by_group: dict[str, int] = {}
+        for item in circuits.split(","):
+            name, _, number = item.partition("=")
             if name.strip() not in {g.name for g in groups} or not number.strip().isdigit():
-                bad(f"--circuits: {part!r} is no NAME=N of a group in {file}")
-            given[name.strip()] = int(number)
-        given = {g.name: given.get(g.name, g.circuits) for g in groups}
+                exit_with_error(f"--circuits: {item!r} is no NAME=N of a group in {file}")
+            circuits_by_group[name.strip()] = int(number)
+        circuits_by_group = {g.name: circuits_by_group.get(g.name, g.circuits) for g in groups}
     else:
-        groups, streams, found = planned(file, "high")
-        given = found.circuits
+        groups, streams, best = make_plan(file, "high")
+        circuits_by_group = best.circuits
     try:
-        ends = planner.what_if(groups, streams, given, lose, factor)
+        ends = planner.what_if(groups, streams, circuits_by_group, lose, factor)
     except OutOfRange as e:
-        bad(f"{file}: {e}")
+        exit_with_error(f"{file}: {e}")
     if as_json:
         print(
             orjson.dumps(
                 {
-                    "circuits": given,
+                    "circuits": circuits_by_group,
                     "lost_group": lose,
                     "factor": factor,
-                    "missed": {w: s.missed(streams) for w, s in ends.items()},
-                    "service": {w: told_service(s) for w, s in ends.items()},
+                    "missed": {end: s.missed(streams) for end, s in ends.items()},
+                    "service": {end: service_as_dict(s) for end, s in ends.items()},
                 }
             ).decode()
         )
@@ -502,30 +519,30 @@
 
 @app.command()
 def plot(
-    out: Annotated[str, typer.Argument(help="the picture: .png, .svg or .pdf")],
-    record: Annotated[list[str], typer.Option(help="traffic records: load and loss over time")] = [],  # noqa: B006  # Typer copies it
-    plan_file: Annotated[str, typer.Option("--plan", help="a plan file: circuits and load by group")] = "",
+    out: Annotated[str, typer.Argument(help="the file to write: .png, .svg or .pdf")],
+    record: Annotated[list[str], typer.Option(help="traffic records: attempts and load over time")] = [],  # noqa: B006  # Typer copies it
+    plan_file: Annotated[str, typer.Option("--plan", help="a plan file: circuits, load and loss")] = "",
     erlangs: Annotated[float, typer.Option(help="blocking against circuits at this traffic")] = 0.0,
-    low: Annotated[float, typer.Option(help="its low end")] = 0.0,
-    high: Annotated[float, typer.Option(help="its high end")] = 0.0,
+    low: Annotated[float, typer.Option(help="low end of the interval of the traffic")] = 0.0,
+    high: Annotated[float, typer.Option(help="high end of the interval of the traffic")] = 0.0,
     peakedness: Peakedness = 1.0,
 ) -> None:
-    """Draws load and loss over time, blocking against circuits with its band, or a plan."""
+    """Plots attempts and load over time, blocking against circuits, or a plan."""
     from softswitch.cli import plots
 
     if sum((bool(record), bool(plan_file), erlangs > 0)) != 1:
-        bad("plot: name one of --record, --plan and --erlangs")
+        exit_with_error("plot: name one of --record, --plan and --erlangs")
     try:
         if record:
-            figure = plots.over_time(records(record))
+            figure = plots.plot_over_time(load_records(record))
         elif plan_file:
-            groups, streams, found = planned(plan_file, "high")
-            figure = plots.of_plan(groups, found, planner.what_if(groups, streams, found.circuits))
+            groups, streams, best = make_plan(plan_file, "high")
+            figure = plots.plot_plan(groups, best, planner.what_if(groups, streams, best.circuits))
         else:
-            figure = plots.blocking_band(erlangs, low or erlangs, high or erlangs, peakedness)
+            figure = plots.plot_blocking(erlangs, low or erlangs, high or erlangs, peakedness)
         figure.savefig(out, dpi=120)
     except OutOfRange as e:
-        bad(e)
+        exit_with_error(e)
     except (OSError, ValueError) as e:
-        bad(f"{out}: {e}; name a .png, .svg or .pdf file that can be written")
+        exit_with_error(f"{out}: {e}; name a writable .png, .svg or .pdf file")
     print(out)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -249,7 +249,7 @@
 
     code, said = run("view", "nowhere", "--json")
     assert code == 1
-    assert "is no address; host:port" in said
+    assert "is not an address; expected host:port of `mgmt`" in said
     code, said = run("simulate", "--schedule", "/none.json")
     assert code == 2
     assert "/none.json: can't be read" in said
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -149,7 +149,7 @@
         end, last = time.monotonic() + seconds, None
         while time.monotonic() < end:
             try:
-                last = {i["name"]: i for i in cli.ask(self.socket, "status", None)["instances"]}
+                last = {i["name"]: i for i in cli.send_request(self.socket, "status", None)["instances"]}
                 if condition(last):
                     return last
             except (OSError, ValueError):
@@ -220,4 +220,4 @@
             )
             assert ran.returncode == 2 and ran.stderr.count("\n") == 1, ran.stderr
         self.until(lambda s: True)
-        assert "error" in cli.ask(self.socket, "dance", None)
+        assert "error" in cli.send_request(self.socket, "dance", None)
