--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -1,12 +1,12 @@
-"""Fleet-wide budgets on virtual time: drawn schedules, planted faults, exploration, use, growth.
-
-python benchmarks/budgets.py drawn 0 10000    # schedules by seed: no sum above its whole, all settle
-python benchmarks/budgets.py planted 400      # faults in the code, one at a time: each is found, or told
-python benchmarks/budgets.py count 0 200      # the same schedules, divided by the count of who is heard
-python benchmarks/budgets.py explore 3 200000 # every order of events of a small fleet, so many states
-python benchmarks/budgets.py use              # how much of the whole is used under uneven demand
-python benchmarks/budgets.py growth 10 100    # messages, bytes and processor time by members
-python benchmarks/budgets.py window           # the window of cells beside the exact one
+"""Benchmarks of fleet-wide budgets, in simulation on virtual time.
+
+python benchmarks/budgets.py drawn 0 10000    # generated schedules, by seed: no sum may exceed its total
+python benchmarks/budgets.py planted 400      # faults injected into the code one by one: which are found
+python benchmarks/budgets.py count 0 200      # the same schedules, divided by the count of reachable members
+python benchmarks/budgets.py explore 3 200000 # every order of events of a small fleet, up to 200000 states
+python benchmarks/budgets.py use              # how much of the total is used under uneven demand
+python benchmarks/budgets.py growth 10 100    # messages, bytes and processor time by number of members
+python benchmarks/budgets.py window           # the sliding window of cells compared with an exact one
 """
 
 import sys
@@ -26,71 +26,87 @@
 from softswitch.standin.faults.budget_simulation import BudgetWorld, address_of, even, play
 from softswitch.standin.faults.schedule import drawn
 
-SECONDS, STEPS = 40.0, 600  # of a drawn schedule; of a way through the model
+SECONDS, STEPS = 40.0, 600  # length of a generated schedule; steps of a random walk through the model
 
 
-def small(members, voters=5, drift=0.01):
-    at = tuple(address_of(k) for k in range(members))
-    two = (Budget("quotes", "set-ups", 120, 2, 1000.0, "a"), Budget("few", "set-ups", 30, 1, 2000.0, "b"))
-    return Plan(two, at, at[: min(members, voters)], drift=drift)
+def make_plan(members, voters=5, drift=0.01):
+    """Returns a plan with two budgets."""
+    addresses = tuple(address_of(k) for k in range(members))
+    budgets = (Budget("quotes", "set-ups", 120, 2, 1000.0, "a"), Budget("few", "set-ups", 30, 1, 2000.0, "b"))
+    return Plan(budgets, addresses, addresses[: min(members, voters)], drift=drift)
 
 
-def hot(members, every):
-    """Nearly all the load at one member, another one each so many ms."""
+def hot_spot(members, every):
+    """Returns a demand that is nearly all at one member and moves to the next after `every` ms."""
     return lambda now, node, budget: 80.0 if node == f"n{int(now // every) % members}" else 1.0
 
 
-def one(seed, **more):
-    """A fleet, its clocks and a schedule of this seed; what was wrong, as a short text."""
+def run_schedule(seed, **options):
+    """Simulates a fleet, its clocks and a schedule, all generated from the seed.
+
+    Returns (seed, failure or "", events, steps above a total, elections, fallbacks to a floor).
+    """
     rng = Random(seed)
-    n, places = rng.randint(3, 10), rng.randint(1, 4)
+    n, site_count = rng.randint(3, 10), rng.randint(1, 4)
     names = [f"n{k}" for k in range(n)]
-    sites = {name: "abcd"[k % places] for k, name in enumerate(names)}
+    sites = {name: "abcd"[k % site_count] for k, name in enumerate(names)}
     faults = drawn(seed, names, sites, SECONDS)
-    made = small(n, rng.choice((1, 3, 5)), rng.choice((0.0, 0.01, 0.05)))
-    load = rng.choice((even(2.0), even(12.0), even(40.0), hot(n, 3_000.0), hot(n, 7_000.0)))
-    more = {"demand": load, "lose": rng.choice((0.0, 0.0, 0.1)), "late": rng.choice((0.01, 0.01, 0.3))} | more
-    o = play(made, n, places, SECONDS, seed, faults, **more)
-    # Where three in ten messages come seconds late, a lease may lapse at any time. Where one in ten is lost,
-    # an office may have lapsed just as the play ends: another is there within 5 s.
-    settled = o.settled or more["late"] > 0.1
-    if not settled and more["lose"]:
-        settled = play(made, n, places, SECONDS + 5.0, seed, faults, **more).settled
-    return seed, o.broken or ("" if settled else "not settled"), o.events, o.over, o.offices, o.lapses
-
-
-def drawn_runs(first, last):
-    began, events, bad, offices, lapses = time.monotonic(), 0, [], 0, 0
+    plan = make_plan(n, rng.choice((1, 3, 5)), rng.choice((0.0, 0.01, 0.05)))
+    load = rng.choice((even(2.0), even(12.0), even(40.0), hot_spot(n, 3_000.0), hot_spot(n, 7_000.0)))
+    options = {
+        "demand": load,
+        "lose": rng.choice((0.0, 0.0, 0.1)),
+        "late": rng.choice((0.01, 0.01, 0.3)),
+    } | options
+    o = play(plan, n, site_count, SECONDS, seed, faults, **options)
+    # If three in ten messages arrive seconds late, a lease may expire at any time. If one in ten is lost, the
+    # allocator's leadership may have expired just at the end of the run: a new one is elected within 5 s.
+    settled = o.settled or options["late"] > 0.1
+    if not settled and options["lose"]:
+        settled = play(plan, n, site_count, SECONDS + 5.0, seed, faults, **options).settled
+    return seed, o.broken or ("" if settled else "not converged"), o.events, o.over, o.offices, o.lapses
+
+
+def run_schedules(first, last):
+    """Runs the schedules of a range of seeds and prints a summary; returns whether all passed."""
+    started_at, events, failures, elections, fallbacks = time.monotonic(), 0, [], 0, 0
     with ProcessPoolExecutor(len(sched_getaffinity(0))) as pool:
-        for seed, wrong, some, _, won, fell in pool.map(one, range(first, last), chunksize=20):
-            events, offices, lapses = events + some, offices + won, lapses + fell
-            if wrong:
-                bad.append((seed, wrong))
+        for seed, failure, count, _, won, fell_back in pool.map(
+            run_schedule, range(first, last), chunksize=20
+        ):
+            events, elections, fallbacks = events + count, elections + won, fallbacks + fell_back
+            if failure:
+                failures.append((seed, failure))
     print(
         f"{last - first} schedules, seeds {first} to {last - 1}: {events} steps in "
-        f"{time.monotonic() - began:.0f} s; {len(bad)} wrong; {offices} offices, {lapses} falls to a floor"
+        f"{time.monotonic() - started_at:.0f} s; {len(failures)} failed; {elections} elections, "
+        f"{fallbacks} fallbacks to a floor"
     )
-    for seed, wrong in bad[:20]:
-        print(f"  seed {seed}: {wrong}")
-    return not bad
+    for seed, failure in failures[:20]:
+        print(f"  seed {seed}: {failure}")
+    return not failures
 
 
-class Counted:
-    """The plain way: each takes the whole divided by how many it has heard of lately."""
+class CountingClient:
+    """The simple alternative: each member uses the total divided by the number of members that it received a
+    message from lately. It has the interface of `LeaseClient`.
+    """
 
-    votes, HEARD = False, 3_000.0
+    votes, MEMBER_TIMEOUT = False, 3_000.0
 
     def __init__(self, plan, address, boot, seed, now):
-        self.plan, self.address, self.heard_at, self.next = plan, address, {}, now
+        self.plan, self.address, self.last_received_at, self.next_send_at = plan, address, {}, now
         self.holder = type("None", (), {"has_no_lease": True})()
 
     def next_at(self):
-        return self.next
+        """Returns the time of the next call of `tick`."""
+        return self.next_send_at
 
     def tick(self, now):
-        if now < self.next:
+        """Sends a message to all other members once per second."""
+        if now < self.next_send_at:
             return []
-        self.next = now + 1_000.0
+        self.next_send_at = now + 1_000.0
         return [
             lease_client.SendMessage(m, Promise(self.address, (1, 1), 1))
             for m in self.plan.members
@@ -98,37 +114,41 @@
         ]
 
     def message_received(self, now, message):
-        self.heard_at[message.voter] = now
+        """Records when the sender's last message was received."""
+        self.last_received_at[message.voter] = now
         return []
 
     def held(self, now, name):
-        count = 1 + sum(now - at < self.HEARD for at in self.heard_at.values())
+        """Returns the slots that this member may use."""
+        count = 1 + sum(now - at < self.MEMBER_TIMEOUT for at in self.last_received_at.values())
         return self.plan.by_name[name].total // count
 
     def set_needs(self, now, needs):
-        pass
+        """Does nothing: the division does not depend on needs."""
 
     def stop(self, now):
+        """Sends nothing."""
         return []
 
 
-def by_count(first, last):
-    broke = steps = events = 0
+def run_counting_schedules(first, last):
+    """Runs schedules with `CountingClient` and prints how often a sum exceeded its total."""
+    violated = steps = events = 0
     for seed in range(first, last):
-        _, _, some, over, _, _ = one(seed, make=Counted, strict=False)
-        broke, steps, events = broke + (over > 0), steps + over, events + some
+        _, _, count, over, _, _ = run_schedule(seed, make=CountingClient, strict=False)
+        violated, steps, events = violated + (over > 0), steps + over, events + count
     print(
-        f"divided by the count of who is heard: the sum was above its whole in {broke} of {last - first} "
-        f"schedules, at {steps} of {events} steps"
+        f"divided by the number of reachable members: the sum exceeded its total in {violated} of "
+        f"{last - first} schedules, at {steps} of {events} steps"
     )
 
 
-def planted():
-    """Name, and what plants the fault; given back is what undoes it."""
+def injected_faults():
+    """Returns by name a function that injects a fault into the code; it returns a function to remove it."""
 
-    def patch(owner, name, made):
+    def patch(owner, name, make_replacement):
         old = getattr(owner, name)
-        setattr(owner, name, made(old))
+        setattr(owner, name, make_replacement(old))
         return lambda: setattr(owner, name, old)
 
     def promises_after_start(old):
@@ -145,7 +165,7 @@
 
         return promise_requested
 
-    def any_number(old):
+    def single_promise(old):
         def promise_received(self, now, promise):
             found = self.rounds.get(promise.round)
             if found is not None:
@@ -154,7 +174,7 @@
 
         return promise_received
 
-    def from_answer(old):
+    def from_response(old):
         def promise_received(self, now, promise):
             found = self.rounds.get(promise.round)
             if found is not None:
@@ -163,7 +183,7 @@
 
         return promise_received
 
-    def never_asks_clock(old):
+    def never_expires(old):
         return lambda self, now: self.epoch != NO_EPOCH
 
     def any_basis(old):
@@ -181,14 +201,14 @@
 
         return granted
 
-    def any_start(old):
+    def any_incarnation(old):
         def granted(self, now, grant):
             self.sent.setdefault(grant.seq, now)
             return old(self, now, replace_struct(grant, boot=self.boot, basis=self.last_grant))
 
         return granted
 
-    def holds_on(old):
+    def ignores_expiry(old):
         return lambda self, now, name: 0 if self.stopping else self.slots.get(name, 0)
 
     def no_cooldown(old):
@@ -206,9 +226,9 @@
     def always_over(old):
         return lambda self, now, name: True
 
-    def trusts_leased(old):
+    def trusts_claims(old):
         def lease_requested(self, now, request):
-            budgets = tuple(replace_struct(asked, leased=asked.leased or 20) for asked in request.budgets)
+            budgets = tuple(replace_struct(entry, leased=entry.leased or 20) for entry in request.budgets)
             return old(self, now, replace_struct(request, budgets=budgets))
 
         return lease_requested
@@ -227,7 +247,7 @@
         for name, slots in ledger.holders.pop(key).leased.items():
             ledger.leased[name] -= slots
 
-    def restart_ends_all(old):
+    def restart_ends_leases(old):
         def request_received(self, now, request, epoch_number):
             for key in [k for k in self.holders if k[0] == request.address and k[1] != request.boot]:
                 write_off(self, key)
@@ -235,7 +255,7 @@
 
         return request_received
 
-    def forgets_the_silent(old):
+    def removes_silent(old):
         def sweep(self, now):
             for key, holder in list(self.holders.items()):
                 if now - holder.last_request_at > 1_000.0:
@@ -247,16 +267,16 @@
     def all_available(old):
         return lambda self, now, name: 1_000_000
 
-    def a_few_more(old):
+    def five_more(old):
         def available(self, now, name):
             return old(self, now, name) + 5
 
         return available
 
     def rounds_up(old):
-        return lambda total, needs, weights: [part + 1 for part in old(total, needs, weights)]
+        return lambda total, needs, weights: [slots + 1 for slots in old(total, needs, weights)]
 
-    def floor_at_once(old):
+    def immediate_floor(old):
         return lambda self, now, name: self.plan.floor_of(name, self.address)
 
     def loses_uses(old):
@@ -268,247 +288,291 @@
     allocator_class, ledger_class = allocator.Allocator, ledger.Ledger
     holder_class = lease_holder.LeaseHolder
     faults = {
-        "a voter that started anew promises at once": (voter.Voter, "__init__", promises_after_start),
-        "a voter promises itself to two": (voter.Voter, "promise_requested", promises_all),
-        "one promise is a majority": (allocator_class, "promise_received", any_number),
-        "leadership counts from the answer, not the request": (
+        "a restarted voter promises at once": (voter.Voter, "__init__", promises_after_start),
+        "a voter makes two promises at a time": (voter.Voter, "promise_requested", promises_all),
+        "one promise is a majority": (allocator_class, "promise_received", single_promise),
+        "leadership is timed from the response, not the request": (
             allocator_class,
             "promise_received",
-            from_answer,
+            from_response,
         ),
-        "leadership never ends by its clock": (allocator_class, "is_leader", never_asks_clock),
-        "a grant replaces whatever is held": (holder_class, "granted", any_basis),
-        "a lease runs from its arrival": (holder_class, "granted", from_arrival),
-        "a grant of an earlier start is taken": (holder_class, "granted", any_start),
-        "a lease is held after it expired": (holder_class, "leased", holds_on),
+        "leadership never expires": (allocator_class, "is_leader", never_expires),
+        "a grant is accepted whatever its basis": (holder_class, "granted", any_basis),
+        "a lease is timed from the arrival of its grant": (holder_class, "granted", from_arrival),
+        "a grant to an earlier incarnation is accepted": (holder_class, "granted", any_incarnation),
+        "an expired lease is still used": (holder_class, "leased", ignores_expiry),
         "freed slots do not cool down": (plan.Plan, "cooldown", no_cooldown),
-        "leases are written off early": (plan.Plan, "lease_bound", lease_bound_too_short),
-        "a renewal needs no echo of the epoch": (allocator_class, "lease_requested", no_echo),
+        "leases are written off too early": (plan.Plan, "lease_bound", lease_bound_too_short),
+        "a renewal is granted without an echo of the epoch": (allocator_class, "lease_requested", no_echo),
         "a new epoch grants at once": (ledger_class, "earlier_epoch_over", always_over),
-        "a holder is believed whatever it says": (allocator_class, "lease_requested", trusts_leased),
+        "a holder's claim to leased slots is not verified": (
+            allocator_class,
+            "lease_requested",
+            trusts_claims,
+        ),
         "only the last grant is in the ledger": (ledger_class, "add_grant", last_grant_only),
-        "floors are left out of the sum": (ledger_class, "leasable", no_floors),
-        "a restart ends what the process before holds": (ledger_class, "request_received", restart_ends_all),
-        "who is silent is written off": (ledger_class, "sweep", forgets_the_silent),
-        "all is available": (ledger_class, "available", all_available),
-        "a few more are available": (ledger_class, "available", a_few_more),
+        "floors are not included in the sum": (ledger_class, "leasable", no_floors),
+        "a restart ends the leases of the previous process": (
+            ledger_class,
+            "request_received",
+            restart_ends_leases,
+        ),
+        "leases of silent holders are written off": (ledger_class, "sweep", removes_silent),
+        "unlimited slots count as available": (ledger_class, "available", all_available),
+        "five slots too many count as available": (ledger_class, "available", five_more),
         "leases are rounded up": (ledger, "divide", rounds_up),
-        "a restart has its floor at once": (holder_class, "floor", floor_at_once),
+        "a restarted process has its floor at once": (holder_class, "floor", immediate_floor),
         "one use in ten is not counted": (SlidingWindow, "used", loses_uses),
     }
     return {name: partial(patch, *fault) for name, fault in faults.items()}
 
 
 def replace_struct(struct, **changes):
+    """Returns a copy of a message with other values."""
     import msgspec
 
     return msgspec.structs.replace(struct, **changes)
 
 
-def find_one(name, most):
-    undo = planted()[name]()
+def find_fault(name, max_seeds):
+    """Runs schedules, then random walks through the model, until one fails because of an injected fault.
+
+    Returns (the run that failed, its failure), or None.
+    """
+    undo = injected_faults()[name]()
     try:
-        for seed in range(most):
+        for seed in range(max_seeds):
             try:
-                wrong = one(seed)[1]
+                failure = run_schedule(seed)[1]
             except Exception as e:
-                wrong = f"{type(e).__name__}: {e}"
-            if wrong:
-                return f"schedule {seed}", wrong
+                failure = f"{type(e).__name__}: {e}"
+            if failure:
+                return f"schedule {seed}", failure
         from softswitch.standin.faults.budget_model import Model
 
         model = Model(3)
-        for where, start in model.starts().items():
-            for seed in range(most // 4):
-                if wrong := model.wander(start, seed, STEPS):
-                    return f"way {seed} from '{where}'", wrong
+        for state_name, start in model.starts().items():
+            for seed in range(max_seeds // 4):
+                if failure := model.wander(start, seed, STEPS):
+                    return f"random walk {seed} from '{state_name}'", failure
     finally:
         undo()
     return None
 
 
-def find_planted(most):
-    found, names = 0, list(planted())
+def find_faults(max_seeds):
+    """Injects each fault alone and prints which of them are detected."""
+    detected, names = 0, list(injected_faults())
     with ProcessPoolExecutor(len(sched_getaffinity(0)), max_tasks_per_child=1) as pool:
-        hits = pool.map(find_one, names, [most] * len(names))
-        for name, hit in zip(names, hits, strict=True):
-            found += hit is not None
-            said = f"{hit[0]}: {hit[1][:100]}" if hit else f"survives {most} seeds"
-            print(f"{name}: {said}", flush=True)
-    print(f"{found} of {len(names)} found")
+        detections = pool.map(find_fault, names, [max_seeds] * len(names))
+        for name, detection in zip(names, detections, strict=True):
+            detected += detection is not None
+            text = (
+                f"{detection[0]}: {detection[1][:100]}" if detection else f"undetected by {max_seeds} seeds"
+            )
+            print(f"{name}: {text}", flush=True)
+    print(f"{detected} of {len(names)} detected")
 
 
 def explore_from(task):
+    """Explores all orders of events from one start state of the model; runs in a process of the pool."""
     from softswitch.standin.faults.budget_model import Model
 
-    members, name, most = task
+    members, name, max_states = task
     model = Model(members)
-    return name, model.explore(model.starts()[name], most)
+    return name, model.explore(model.starts()[name], max_states)
 
 
-def wander(task):
+def run_walks(task):
+    """Runs random walks through the model and returns those that failed; runs in a process of the pool."""
     from softswitch.standin.faults.budget_model import Model
 
     members, name, first, last, steps = task
     model = Model(members)
     start = model.starts()[name]
-    return [(name, seed, why) for seed in range(first, last) if (why := model.wander(start, seed, steps))]
+    return [
+        (name, seed, failure) for seed in range(first, last) if (failure := model.wander(start, seed, steps))
+    ]
 
 
-def explore(members, most, ways):
-    """All orders from each start, then long ways drawn at random."""
+def explore(members, max_states, walks):
+    """Explores all orders of events from each start state, then runs long random walks.
+
+    Prints a summary; returns whether no rule was violated.
+    """
     from softswitch.standin.faults.budget_model import Model
 
-    began, names, states, bad = time.monotonic(), list(Model(members).starts()), 0, 0
+    started_at, names, states, violated = time.monotonic(), list(Model(members).starts()), 0, 0
     with ProcessPoolExecutor(len(sched_getaffinity(0))) as pool:
-        explored = pool.map(explore_from, [(members, n, most) for n in names])
-        for name, (seen, depth, broken) in explored:
-            states, bad = states + seen, bad + bool(broken)
+        explored = pool.map(explore_from, [(members, n, max_states) for n in names])
+        for name, (count, depth, violation) in explored:
+            states, violated = states + count, violated + bool(violation)
             print(
-                f"{members} members, {name}: {seen} states, all to depth {depth}: {broken or 'kept'}",
+                f"{members} members, {name}: {count} states, all to depth {depth}: "
+                f"{violation or 'no violation'}",
                 flush=True,
             )
-        tasks = [(members, n, k, k + 25, STEPS) for n in names for k in range(0, ways, 25)]
-        found = [hit for some in pool.map(wander, tasks) for hit in some]
+        tasks = [(members, n, k, k + 25, STEPS) for n in names for k in range(0, walks, 25)]
+        failures = [failure for batch in pool.map(run_walks, tasks) for failure in batch]
     print(
-        f"{states} states, {bad} starts broken; {ways * len(names)} ways of {STEPS} steps, "
-        f"{len(found)} broken; {time.monotonic() - began:.0f} s"
+        f"{states} states, violations from {violated} start states; {walks * len(names)} random walks of "
+        f"{STEPS} steps, {len(failures)} failed; {time.monotonic() - started_at:.0f} s"
     )
-    for hit in found[:5]:
-        print("  ", *hit)
-    return not bad and not found
+    for failure in failures[:5]:
+        print("  ", *failure)
+    return not violated and not failures
 
 
-class Equal(Counted):
-    """Each has the same fixed part, whatever happens."""
+class EqualSharesClient(CountingClient):
+    """Each member has the same fixed fraction of the total."""
 
     def held(self, now, name):
+        """Returns the slots that this member may use."""
         return self.plan.by_name[name].total // len(self.plan.members)
 
     def tick(self, now):
-        self.next = now + 1_000.0
+        """Sends nothing."""
+        self.next_send_at = now + 1_000.0
         return []
 
 
-def pooled(rate, whole, over, seconds, seed):
-    """The best that is possible: one that sees all calls and lets no more than the whole through, exactly."""
+def spend_centrally(rate, total, window, seconds, seed):
+    """Returns the slots that a central limiter spends that sees all calls: the upper bound."""
     rng, now, spent, uses = Random(seed), 0.0, 0, deque()
     while (now := now + rng.expovariate(rate) * 1000) < seconds * 1000:
-        while uses and uses[0] <= now - over:
+        while uses and uses[0] <= now - window:
             uses.popleft()
-        if len(uses) < whole:
+        if len(uses) < total:
             uses.append(now)
             spent += 1
     return spent
 
 
-def used(make, over, load, moves, share, seed, warm=15.0, seconds=75.0, members=12, rate=120):
-    """Slots spent a second, of the whole."""
-    at = tuple(address_of(k) for k in range(members))
-    whole = round(rate * over)
-    made = Plan((Budget("quotes", "set-ups", whole, max(1, round(over)), over * 1000.0),), at, at[:5])
+def used_fraction(make, window, load, moves, share, seed, warm=15.0, seconds=75.0, members=12, rate=120):
+    """Returns the fraction of the total that is spent.
+
+    window: of the budget, in s. load: all calls relative to the total. share: the fraction of the calls at
+    one member. moves: whether that member changes every 10 s.
+    """
+    addresses = tuple(address_of(k) for k in range(members))
+    total = round(rate * window)
+    plan = Plan(
+        (Budget("quotes", "set-ups", total, max(1, round(window)), window * 1000.0),),
+        addresses,
+        addresses[:5],
+    )
 
     def demand(now, node, budget):
-        first = int(now // 10_000) % members if moves else 0
-        mine = share if node == f"n{first}" else (1 - share) / (members - 1)
-        return rate * load * mine
+        loaded = int(now // 10_000) % members if moves else 0
+        fraction = share if node == f"n{loaded}" else (1 - share) / (members - 1)
+        return rate * load * fraction
 
-    world = BudgetWorld(made, members, 3, seed, (), demand=demand, make=make, late=0.0)
+    world = BudgetWorld(plan, members, 3, seed, (), demand=demand, make=make, late=0.0)
     world.run(warm * 1000)
     before = world.spent["quotes"].spent
     world.run(seconds * 1000)
     return (world.spent["quotes"].spent - before) / (seconds - warm) / rate
 
 
-def use():
-    print("12 members, a whole of 120 a second, one member has a share of all calls; 60 s; two seeds each")
-    for over in (1.0, 4.0, 8.0):
+def compare_use():
+    """Prints the used fraction of the total with leases, with equal shares and with a central limiter."""
+    print("12 members, a total of 120 per second, one member has a share of all calls; 60 s; two seeds each")
+    for window in (1.0, 4.0, 8.0):
         for load in (0.8, 1.3):
-            best = mean(pooled(120 * load, round(120 * over), over * 1000, 60, s) / 60 / 120 for s in (1, 2))
+            best = mean(
+                spend_centrally(120 * load, round(120 * window), window * 1000, 60, s) / 60 / 120
+                for s in (1, 2)
+            )
             for share, moves in ((0.06, False), (0.25, False), (0.25, True)):
-                seen = [
-                    mean(used(make, over, load, moves, share, seed) for seed in (1, 2))
-                    for make in (LeaseClient, Equal)
+                fractions = [
+                    mean(used_fraction(make, window, load, moves, share, seed) for seed in (1, 2))
+                    for make in (LeaseClient, EqualSharesClient)
                 ]
-                moving = ", another each 10 s" * moves
+                moving = ", changing every 10 s" * moves
                 print(
-                    f"window {over:g} s, load {load:g}, one has {share:.0%}{moving}: used {seen[0]:.3f}; "
-                    f"equal parts {seen[1]:.3f}; best {best:.3f}",
+                    f"window {window:g} s, load {load:g}, one has {share:.0%}{moving}: "
+                    f"used {fractions[0]:.3f}; equal shares {fractions[1]:.3f}; central limiter {best:.3f}",
                     flush=True,
                 )
 
 
-def growth(sizes):
+def measure_growth(sizes):
+    """Prints bytes, messages and processor time per second and member, by number of members."""
     for n in sizes:
-        at = tuple(address_of(k) for k in range(n))
-        two = (Budget("quotes", "set-ups", 20 * n, 1, 1000.0), Budget("again", "repeats", 2 * n, 0, 5000.0))
-        made = Plan(two, at, at[:5])
-        world = BudgetWorld(made, n, 4, 1, (), demand=even(2.0), late=0.0)
-        world._check = lambda: None  # the sum over all at each step is the checker's cost, not the code's
+        addresses = tuple(address_of(k) for k in range(n))
+        budgets = (
+            Budget("quotes", "set-ups", 20 * n, 1, 1000.0),
+            Budget("again", "repeats", 2 * n, 0, 5000.0),
+        )
+        plan = Plan(budgets, addresses, addresses[:5])
+        world = BudgetWorld(plan, n, 4, 1, (), demand=even(2.0), late=0.0)
+        world._check = lambda: None  # the checker sums over all members at each step; its cost is excluded
         world.run(12_000)
         nodes = list(world.nodes.values())
         base = [(v.bytes_out, v.messages) for v in nodes]
-        began = time.process_time()
+        started_at = time.process_time()
         world.run(22_000)
-        cpu = time.process_time() - began
+        cpu = time.process_time() - started_at
         sent = [(v.bytes_out - b, v.messages - m) for v, (b, m) in zip(nodes, base, strict=True)]
-        first = max(sent)
+        busiest = max(sent)  # the allocator sends most
         print(
             f"{n} members: {mean(b for b, _ in sent) / 10:.0f} bytes and "
-            f"{mean(m for _, m in sent) / 10:.2f} messages a second and member; at the allocator "
-            f"{first[0] / 10:.0f} and {first[1] / 10:.1f}; "
-            f"{1000 * cpu / 10 / n:.2f} ms of processor time a second and member, the simulation's in it; "
-            f"settled: {world.settled()}",
+            f"{mean(m for _, m in sent) / 10:.2f} messages per second and member; at the allocator "
+            f"{busiest[0] / 10:.0f} and {busiest[1] / 10:.1f}; "
+            f"{1000 * cpu / 10 / n:.2f} ms of processor time per second and member, with the simulation; "
+            f"converged: {world.settled()}",
             flush=True,
         )
 
 
-def windows():
-    """Time and memory of a use, and what is let through, beside a time for each use."""
+def compare_windows():
+    """Prints time per use, memory and allowed uses of the window of cells and of one that stores each use."""
     from sys import getsizeof
 
-    for rate, over, slots in ((100, 1000.0, 80), (1000, 1000.0, 800), (5000, 10_000.0, 40_000)):
+    for rate, window, slots in ((100, 1000.0, 80), (1000, 1000.0, 800), (5000, 10_000.0, 40_000)):
         rng = Random(1)
         times, now = [], 0.0
         for _ in range(200_000):
             now += rng.expovariate(rate) * 1000
             times.append(now)
-        cells, exact, let, lets = SlidingWindow(over), deque(), 0, 0
-        began = time.perf_counter()
+        cells, exact, allowed, allowed_exactly = SlidingWindow(window), deque(), 0, 0
+        started_at = time.perf_counter()
         for at in times:
             if cells.used(at) < slots:
                 cells.use(at)
-                let += 1
+                allowed += 1
         middle = time.perf_counter()
         for at in times:
-            while exact and exact[0] <= at - over:
+            while exact and exact[0] <= at - window:
                 exact.popleft()
             if len(exact) < slots:
                 exact.append(at)
-                lets += 1
+                allowed_exactly += 1
         end = time.perf_counter()
         print(
-            f"{rate} a second, {slots} slots in {over / 1000:g} s: cells {(middle - began) * 5:.2f} us, "
-            f"{getsizeof(cells.counts)} bytes, let {let}; exact {(end - middle) * 5:.2f} us, "
-            f"{getsizeof(exact) + 24 * len(exact)} bytes, let {lets}: {let / lets:.3f}"
+            f"{rate} per second, {slots} slots in {window / 1000:g} s: "
+            f"cells {(middle - started_at) * 5:.2f} us, "
+            f"{getsizeof(cells.counts)} bytes, {allowed} allowed; exact {(end - middle) * 5:.2f} us, "
+            f"{getsizeof(exact) + 24 * len(exact)} bytes, {allowed_exactly} allowed: "
+            f"{allowed / allowed_exactly:.3f}"
         )
 
 
 if __name__ == "__main__":
-    asked = sys.argv[1:] or ["drawn", "0", "200"]
-    if asked[0] == "drawn":
-        sys.exit(0 if drawn_runs(int(asked[1]), int(asked[2])) else 1)
-    elif asked[0] == "planted":
-        find_planted(int(asked[1]) if len(asked) > 1 else 400)
-    elif asked[0] == "count":
-        by_count(int(asked[1]), int(asked[2]))
-    elif asked[0] == "use":
-        use()
-    elif asked[0] == "growth":
-        growth([int(n) for n in asked[1:]] or [10, 100])
-    elif asked[0] == "window":
-        windows()
-    elif asked[0] == "explore":
-        sys.exit(0 if explore(int(asked[1]), int(asked[2]), int(asked[3]) if len(asked) > 3 else 1000) else 1)
+    args = sys.argv[1:] or ["drawn", "0", "200"]
+    if args[0] == "drawn":
+        sys.exit(0 if run_schedules(int(args[1]), int(args[2])) else 1)
+    elif args[0] == "planted":
+        find_faults(int(args[1]) if len(args) > 1 else 400)
+    elif args[0] == "count":
+        run_counting_schedules(int(args[1]), int(args[2]))
+    elif args[0] == "use":
+        compare_use()
+    elif args[0] == "growth":
+        measure_growth([int(n) for n in args[1:]] or [10, 100])
+    elif args[0] == "window":
+        compare_windows()
+    elif args[0] == "explore":
+        sys.exit(0 if explore(int(args[1]), int(args[2]), int(args[3]) if len(args) > 3 else 1000) else 1)
     else:
         sys.exit(__doc__)
