--- a/benchmarks/call_cost.py
+++ b/benchmarks/call_cost.py
@@ -1,19 +1,20 @@
-"""Processor time a call, of the decisions and both wires without sockets, against another checkout, paired.
+"""Processor time per call of call control and both protocols without sockets, compared with another checkout.
 
     python benchmarks/call_cost.py TREE [PAIRS] [CALLS]   # compile both trees first, as the deploy file does
 
-Each checkout runs its own copy of this file. One caller's connection and four engines, all in one process on
-a clock by hand: each call is set up, answered, acknowledged, released by its engine and acknowledged again;
-each tenth is cancelled. Nothing waits, so the time is the program's own, with the little that stand-ins take.
-Sockets, the reactor's timers and the start are left out: benchmarks/operation.py cost has them.
+The runs are paired. Each checkout runs its own copy of this file: one caller's connection and four engines in
+one process, on a manually advanced clock. Each call is set up, answered, acknowledged, released by its engine
+and acknowledged again; every tenth call is cancelled. Nothing waits, so the time is that of the program and
+the small share of the stand-ins. Sockets, the reactor's timers and the start are not included;
+`benchmarks/operation.py cost` includes them.
 """
 
 import sys
 import time
 
-from paired import paired
+from paired import compare_with
 
-ENGINES, A_TICK = 4, 5  # calls that come in one tick
+ENGINES, CALLS_PER_TICK = 4, 5
 INFO = {
     "family": "trunks",
     "fleet_size": 4,
@@ -36,10 +37,11 @@
     "v=0"
 )
 SHORT = "{0} sip:77@net SIP/2.0\r\nCall-ID: {1:016x}\r\nCSeq: 1 {0}\r\nContent-Length: 0\r\n\r\n"
-HEARD = "SIP/2.0 200 OK\r\nCall-ID: {:016x}\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n"
+RELEASE_CONFIRMED = "SIP/2.0 200 OK\r\nCall-ID: {:016x}\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n"
 
 
-def one(calls):
+def measure(calls):
+    """Prints the processor time per call, in seconds."""
     from twisted.internet.testing import StringTransport
 
     from softswitch import interface as i
@@ -50,84 +52,86 @@
     from softswitch.net.sip_server import SipServer
     from softswitch.settings import check_settings
 
-    class Wire(StringTransport):
+    class Transport(StringTransport):
         dataBuffer, offset, _tempDataLen = b"", 0, 0
 
         def setTcpNoDelay(self, on):
             pass
 
     class Reactor:
-        made = []
+        protocols = []
 
         def connectTCP(self, host, port, factory, timeout=0):
             protocol = factory.buildProtocol(None)
-            protocol.makeConnection(Wire())
-            self.made.append(protocol)
+            protocol.makeConnection(Transport())
+            self.protocols.append(protocol)
 
-    def framed(data):
+    def frame(data):
         return len(data).to_bytes(2, "big") + data
 
     now, reactor, settings = [1000.0], Reactor(), check_settings(INFO)
     wheel = TimerWheel(settings.tick, lambda: now[0])
-    links = EnginePool(reactor, settings)
-    switch = Switch(settings, 1, wheel, links)
-    links.attach(switch)
+    pool = EnginePool(reactor, settings)
+    switch = Switch(settings, 1, wheel, pool)
+    pool.attach(switch)
     server = SipServer("n0", switch)
     switch.start()
     names = [f"s-{n:08x}" for n in range(ENGINES)]
     for n, name in enumerate(names):
-        links.add_endpoint(name, ("127.0.0.1", 10_000 + n))
+        pool.add_endpoint(name, ("127.0.0.1", 10_000 + n))
     ready = tuple(i.Endpoint(name, n, i.EndpointState.READY) for n, name in enumerate(names))
     switch.endpoints_changed(i.EndpointsChanged(i.UpdateKind.COMPLETE, ready))
     caller = server.buildProtocol(None)
-    caller.makeConnection(Wire())
-    state, answered, stood = (
+    caller.makeConnection(Transport())
+    state, answered, established = (
         encode_message(MessageType.STATE, NO_CALL, (Parameter.REPORT, b"x0:900;x1:1000")),
         0,
         [],
     )
-    began = time.process_time()
-    for first in range(1, calls, A_TICK):
+    started_at = time.process_time()
+    for first in range(1, calls, CALLS_PER_TICK):
         now[0] += settings.tick
         wheel.read_clock()
-        if first % 1_000 < A_TICK:
-            for protocol in reactor.made:
-                protocol.dataReceived(framed(state))
-        some = range(first, first + A_TICK)
-        caller.dataReceived("".join(INVITE.format(n, n % ENGINES) for n in some).encode())
-        caller.dataReceived("".join(SHORT.format("CANCEL", n) for n in some if n % 10 == 0).encode())
-        for protocol in reactor.made:
+        if first % 1_000 < CALLS_PER_TICK:
+            for protocol in reactor.protocols:
+                protocol.dataReceived(frame(state))
+        numbers = range(first, first + CALLS_PER_TICK)
+        caller.dataReceived("".join(INVITE.format(n, n % ENGINES) for n in numbers).encode())
+        caller.dataReceived("".join(SHORT.format("CANCEL", n) for n in numbers if n % 10 == 0).encode())
+        for protocol in reactor.protocols:
             data = protocol.transport.value()
             protocol.transport.clear()
             while data:
                 size = int.from_bytes(data[:2], "big")
-                kind, call, data = data[2], data[3:11].hex(), data[2 + size :]
-                if kind == 1 and int(call, 16) % 10:
+                message_type, call, data = data[2], data[3:11].hex(), data[2 + size :]
+                if message_type == 1 and int(call, 16) % 10:
                     protocol.dataReceived(
-                        framed(encode_message(MessageType.ANSWER, call, (Parameter.DESCRIPTION, b"v=1")))
+                        frame(encode_message(MessageType.ANSWER, call, (Parameter.DESCRIPTION, b"v=1")))
                     )
-                    stood.append((int(call, 16), protocol, call))
+                    established.append((int(call, 16), protocol, call))
         answered += caller.transport.value().count(b"SIP/2.0 200 OK")
         caller.transport.clear()
-        caller.dataReceived("".join(SHORT.format("ACK", n) for n, _, _ in stood[-A_TICK:]).encode())
-        while len(stood) > 500:
-            n, protocol, call = stood.pop(0)
+        caller.dataReceived(
+            "".join(SHORT.format("ACK", n) for n, _, _ in established[-CALLS_PER_TICK:]).encode()
+        )
+        while len(established) > 500:
+            n, protocol, call = established.pop(0)
             protocol.dataReceived(
-                framed(encode_message(MessageType.RELEASE, call, (Parameter.CAUSE, b"\x10")))
+                frame(encode_message(MessageType.RELEASE, call, (Parameter.CAUSE, b"\x10")))
             )
-            caller.dataReceived(HEARD.format(n).encode())
+            caller.dataReceived(RELEASE_CONFIRMED.format(n).encode())
         wheel.run_due()
-    used = time.process_time() - began
+    used = time.process_time() - started_at
     assert answered > 0.95 * calls, answered
     print(used / calls)
 
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["one"]:
-        one(int(sys.argv[2]))
+        measure(int(sys.argv[2]))
     elif len(sys.argv) > 1:
         calls = (sys.argv[3:] or ["20000"])[0]
-        paired(
+        compare_with(
             sys.argv[1], int((sys.argv[2:] or ["10"])[0]), lambda n: ["benchmarks/call_cost.py", "one", calls]
         )
     else:
--- a/benchmarks/call_limits.py
+++ b/benchmarks/call_limits.py
@@ -1,6 +1,6 @@
-"""What the limits cost: processor time a call and memory, with as many numbers and tenants as they may know.
+"""Processor time per call and memory of the call limits, with the maximum of tracked numbers and tenants.
 
-python benchmarks/call_limits.py    # calls a second through admission, weight and answer; bytes
+python benchmarks/call_limits.py    # calls per second through admission, weight and answer; bytes
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 TENANTS = 1_000
 CALLS = 200_000
-NUMBERS = 2 * MAX_NUMBERS  # called, half of them more than are known at once
-BUSY_SHARE = 0.3
+NUMBERS = 2 * MAX_NUMBERS  # called numbers: twice as many as are tracked at once
+BUSY_FRACTION = 0.3
 CALL_CLASS = i.CallClass("plain", latency_objective=2_000.0)
 
 
 def settings() -> i.Settings:
-    """Settings with as many tenants as the benchmark has."""
+    """Returns settings with the tenants of the benchmark."""
     tenants = tuple(i.Tenant(f"tenant-{n}", 1.0) for n in range(TENANTS))
     return i.Settings((CALL_CLASS,), tenants=tenants, over_quota_weight=0.1)
 
 
 def requests(rng: Random) -> list[i.SetupRequested]:
-    """Calls to drawn numbers by drawn tenants."""
+    """Returns calls to random numbers by random tenants."""
     return [
         i.SetupRequested(
             f"{n:016x}",
@@ -42,15 +42,15 @@
     ]
 
 
-def play(limits: CallLimits, calls: list[i.SetupRequested], rng: Random) -> int:
-    """Plays the calls, a millisecond apart; how many were rejected."""
+def run(limits: CallLimits, calls: list[i.SetupRequested], rng: Random) -> int:
+    """Runs the calls, a millisecond apart; returns how many were rejected."""
     rejected = 0
     for now, request in enumerate(calls):
         if limits.admit(now, request, CALL_CLASS, i.UNLIMITED):
             rejected += 1
             continue
         limits.weight_of(now, request, CALL_CLASS, 0.2)
-        busy = rng.random() < BUSY_SHARE
+        busy = rng.random() < BUSY_FRACTION
         event: i.AttemptEvent = i.AttemptAnswered(request.call, 0, "e", 40.0)
         if busy:
             event = i.AttemptEnded(request.call, 0, "e", i.Outcome.ERROR, 40.0, callee_busy=True)
@@ -59,16 +59,16 @@
 
 
 def main() -> None:
-    """Prints one JSON object."""
+    """Prints the results as one JSON object."""
     calls = requests(Random(1))
     limits = CallLimits(settings())
-    began = time.process_time()
-    rejected = play(limits, calls, Random(2))
-    seconds = time.process_time() - began
+    started_at = time.process_time()
+    rejected = run(limits, calls, Random(2))
+    seconds = time.process_time() - started_at
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     measured = CallLimits(settings())
-    play(measured, calls, Random(2))
+    run(measured, calls, Random(2))
     after, _ = tracemalloc.get_traced_memory()
     print(
         json.dumps(
--- a/benchmarks/cold_engines.py
+++ b/benchmarks/cold_engines.py
@@ -1,9 +1,13 @@
-"""A release of half the engines at once under 12 real softswitches: what a cold engine gets, with its share
-divided by budgets and by fixed parts of 1/fleet_size, that number being right, twice too high, twice too low;
-beside them softswitches that know of no cold engines. The engines bear little while cold, and the others can
-not carry the load of all.
+"""Load on engines that warm up: 12 real softswitches, while half of the engines are restarted at once.
+
+Compares softswitches that divide the capacity of an engine that warms up by budgets with softswitches that
+each use a fixed 1/fleet_size of it, where fleet_size is right, twice too high and twice too low, and with
+softswitches that ignore warm-up. The capacity of an engine that warms up is low, and the other engines can't
+carry the whole load.
 
     python benchmarks/cold_engines.py [SEEDS] [HEAVY]      # a minute for each line and seed
+
+HEAVY is the fraction of all calls at one softswitch.
 """
 
 import json
@@ -16,25 +20,27 @@
 from softswitch.standin.engine import EngineSettings
 from softswitch.standin.faults.drill import Drill
 
-SOFTSWITCHES, ENGINES, BEARS, RATE = 12, 4, 100.0, 270.0  # set-ups a second that one bears; calls a second
-COLD_FROM, FACTOR, COLD_S = 0.15, 2.0, 6.0
-RELEASE_AT, SEEN_FOR, SECONDS = 22.0, 14.0, 42.0
-COLD = ({"name": "cold", "what": "cold", "whole": 1, "floor": 0.01},)
-WAYS = {
+# CAPACITY: call setups per second of one engine; RATE: calls per second
+SOFTSWITCHES, ENGINES, CAPACITY, RATE = 12, 4, 100.0, 270.0
+# Fraction of its capacity that a restarted engine has at first; overload factor; seconds of warm-up.
+INITIAL_CAPACITY, OVERLOAD_FACTOR, WARM_UP = 0.15, 2.0, 6.0
+RESTART_AT, OBSERVED_FOR, SECONDS = 22.0, 14.0, 42.0
+BUDGETS = ({"name": "cold", "what": "cold", "whole": 1, "floor": 0.01},)
+VARIANTS = {  # variant -> factor of fleet_size
     "budgets": 1.0,
-    "fixed, right": 1.0,
-    "fixed, twice too high": 2.0,
-    "fixed, twice too low": 0.5,
-    "nothing known of cold engines": 1.0,
+    "fixed, fleet_size right": 1.0,
+    "fixed, fleet_size twice too high": 2.0,
+    "fixed, fleet_size twice too low": 0.5,
+    "warm-up ignored": 1.0,
 }
 
 
-class Release(Drill):
-    """The drill with engines that start cold, and half of them started anew at once."""
+class RestartDrill(Drill):
+    """A drill with engines that need to warm up; half of them are restarted at once."""
 
-    def __init__(self, way, seed, heavy):
-        self.way = way
-        divided = way == "budgets"
+    def __init__(self, variant, seed, heavy):
+        self.variant = variant
+        divided = variant == "budgets"
         super().__init__(
             SOFTSWITCHES,
             3,
@@ -44,26 +50,26 @@
             RATE,
             view=divided,
             watched=False,
-            budgets=COLD if divided else (),
+            budgets=BUDGETS if divided else (),
             heavy=heavy,
             engines=ENGINES,
         )
 
     def _start(self):
-        size = max(1, round(SOFTSWITCHES * WAYS[self.way]))
+        size = max(1, round(SOFTSWITCHES * VARIANTS[self.variant]))
         rules = (
             {
-                "cold": COLD_S * 1_000,
-                "cold_from": COLD_FROM,
-                "overload_factor": FACTOR,
+                "cold": WARM_UP * 1_000,
+                "cold_from": INITIAL_CAPACITY,
+                "overload_factor": OVERLOAD_FACTOR,
                 "overload_for": 1_000.0,
             }
-            if not self.way.startswith("nothing")
+            if not self.variant.startswith("warm-up")
             else {}
         )
         settings = self.day.settings() | {"fleet_size": size, "rules": rules}
         self.day = type(
-            "Told",
+            "DayWithSettings",
             (),
             {
                 "__getattr__": lambda me, name, day=self.day: getattr(day, name),
@@ -76,73 +82,79 @@
                 engine.set.cell,
                 400,
                 hold=engine.set.hold,
-                work=1 / BEARS / 1.4,
-                bears=BEARS,
-                cold=COLD_S,
-                cold_from=COLD_FROM,
-                overload_factor=FACTOR,
+                work=1 / CAPACITY / 1.4,
+                bears=CAPACITY,
+                cold=WARM_UP,
+                cold_from=INITIAL_CAPACITY,
+                overload_factor=OVERLOAD_FACTOR,
             )
-            engine.on_born = self._born
+            engine.on_born = self._announce
         super()._start()
 
-    def _born(self, engine):
+    def _announce(self, engine):
         self.board.change(Listed(engine.set.name, engine.at, engine.set.cell, born_ms=int(time() * 1000) - 5))
 
     def _one_up(self):
         super()._one_up()
         if self.up == self.day.softswitches:
-            self.reactor.callLater(RELEASE_AT, self._release)
-            self.reactor.callLater(RELEASE_AT + SEEN_FOR, self._seen)
+            self.reactor.callLater(RESTART_AT, self._restart_engines)
+            self.reactor.callLater(RESTART_AT + OBSERVED_FOR, self._evaluate)
 
-    def _stood(self):
+    def _established(self):
         return sum(t.carried for c in self.callers for t in c.tallies.values())
 
-    def _tried(self):
+    def _attempts(self):
         return sum(t.tries for c in self.callers for t in c.tallies.values())
 
-    def _release(self):
-        self.before = self._stood(), self._tried()
+    def _restart_engines(self):
+        self.before = self._established(), self._attempts()
         for engine in self.engines[: ENGINES // 2]:
             engine.restart()
 
-    def _seen(self):
-        most = [e.count["most of what a cold engine bears, %"] for e in self.engines[: ENGINES // 2]]
-        self.shown = {
+    def _evaluate(self):
+        max_loads = [e.count["most of what a cold engine bears, %"] for e in self.engines[: ENGINES // 2]]
+        self.results = {
             "fell": sum(e.count["fell"] for e in self.engines),
-            "most %": most,
-            "stood": self._stood() - self.before[0],
-            "tried": self._tried() - self.before[1],
+            "most %": max_loads,
+            "stood": self._established() - self.before[0],
+            "tried": self._attempts() - self.before[1],
         }
 
 
-def one(way, seed, heavy):
-    drill = Release(way, seed, heavy)
+def run_drill(variant, seed, heavy):
+    """Runs one drill in this process and prints its results as JSON."""
+    drill = RestartDrill(variant, seed, heavy)
     drill.play()
-    print(json.dumps(drill.shown))
+    print(json.dumps(drill.results))
 
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["one"]:
-        one(sys.argv[2], int(sys.argv[3]), float(sys.argv[4]))
+        run_drill(sys.argv[2], int(sys.argv[3]), float(sys.argv[4]))
     else:
         seeds, heavy = (sys.argv[1:] + ["2", "0.25"][len(sys.argv) - 1 :])[:2]
         seeds = int(seeds)
         print(
-            f"{SOFTSWITCHES} softswitches, {ENGINES} engines of {BEARS:g} set-ups a second, {RATE:g} calls "
-            f"a second, {float(heavy):.0%} at one; half of the engines started anew; {SEEN_FOR:g} s"
+            f"{SOFTSWITCHES} softswitches, {ENGINES} engines with {CAPACITY:g} call setups per second each, "
+            f"{RATE:g} calls per second, {float(heavy):.0%} at one; half of the engines restarted; "
+            f"{OBSERVED_FOR:g} s"
         )
-        for way in WAYS:
-            shown = []
+        for variant in VARIANTS:
+            results = []
             for seed in range(1, seeds + 1):
-                words = [sys.executable, __file__, "one", way, str(seed), heavy]
-                ran = subprocess.run(words, capture_output=True, text=True)
-                if ran.returncode:
-                    sys.exit(ran.stderr[-2000:])
-                shown.append(json.loads(ran.stdout.splitlines()[-1]))
-            most = [p for s in shown for p in s["most %"]]
-            stood, tried = mean(s["stood"] / s["tried"] for s in shown), mean(s["tried"] for s in shown)
+                command = [sys.executable, __file__, "one", variant, str(seed), heavy]
+                completed = subprocess.run(command, capture_output=True, text=True)
+                if completed.returncode:
+                    sys.exit(completed.stderr[-2000:])
+                results.append(json.loads(completed.stdout.splitlines()[-1]))
+            max_loads = [p for r in results for p in r["most %"]]
+            established, attempts = (
+                mean(r["stood"] / r["tried"] for r in results),
+                mean(r["tried"] for r in results),
+            )
             print(
-                f"{way}: engines fell {sum(s['fell'] for s in shown)} times; most that a cold one got, % "
-                f"of what it bears: {most}; stood {stood:.3f} of {tried:.0f}",
+                f"{variant}: engines failed under overload {sum(r['fell'] for r in results)} times; max load "
+                f"of engines in warm-up, % of their capacity: {max_loads}; "
+                f"established {established:.3f} of {attempts:.0f}",
                 flush=True,
             )
--- a/benchmarks/coverage.py
+++ b/benchmarks/coverage.py
@@ -1,6 +1,7 @@
-"""Coverage of the estimates' 95% intervals: how many of N seeded replays on virtual time hold the truth.
+"""Coverage of the estimates' 95% confidence intervals: the fraction that contains the true value.
 
-`python benchmarks/coverage.py [N]` (default 500 of each kind, about 40 s on eight cores).
+Each case is simulated N times on virtual time, with different seeds:
+`python benchmarks/coverage.py [N]` (default 500 runs of each case, about 40 s on eight cores).
 """
 
 import sys
@@ -11,7 +12,8 @@
 
 from softswitch.dimension import peaked_traffic, simulate, traffic
 
-CASES = {  # erlangs, seconds in holding times, and what else; "short" is what a few minutes would give
+# Erlangs, length in holding times, other options, circuits. "short" corresponds to a few minutes of traffic.
+CASES = {
     "random, long": (10.0, 400.0, {}, 100),
     "random, short": (10.0, 5.0, {}, 100),
     "random, very short": (3.0, 8.0, {}, 100),
@@ -24,52 +26,62 @@
 }
 
 
-def one(case):
+def run_case(case):
+    """Simulates a case with a seed and checks the estimate; returns (name, None) if there is no estimate."""
     name, seed = case
-    erlangs, seconds, more, circuits = CASES[name]
-    seen = simulate.play(
+    erlangs, seconds, options, circuits = CASES[name]
+    record = simulate.play(
         [simulate.Group("g", circuits)],
-        [simulate.Demand("x", erlangs, ("g",), **more)],
+        [simulate.Demand("x", erlangs, ("g",), **options)],
         seconds,
         seed,
         warm=10.0,
         slot=max(0.1, seconds / 2000),
     ).records["x"]
     try:
-        found = traffic.estimate(
-            traffic.Sample(seen.slot, seen.first, seen.erlang_time, seen.ended, seen.held2)
+        estimate = traffic.estimate(
+            traffic.Sample(record.slot, record.first, record.erlang_time, record.ended, record.held2)
         )
     except traffic.OutOfRange:
         return name, None
-    boot = found.bootstrap
-    z = peaked_traffic.switched(erlangs, more["on"], more["off"])[1] if more.get("on", inf) < inf else 1.0
+    bootstrap = estimate.bootstrap
+    z = (
+        peaked_traffic.switched(erlangs, options["on"], options["off"])[1]
+        if options.get("on", inf) < inf
+        else 1.0
+    )
     return name, (
-        found.erlangs.low <= erlangs <= found.erlangs.high,
-        found.erlangs.half_width,
-        None if boot is None else boot.low <= erlangs <= boot.high,
-        found.peakedness.low <= z <= found.peakedness.high,
-        found.steady,
-        found.peakedness.value,
+        estimate.erlangs.low <= erlangs <= estimate.erlangs.high,
+        estimate.erlangs.half_width,
+        None if bootstrap is None else bootstrap.low <= erlangs <= bootstrap.high,
+        estimate.peakedness.low <= z <= estimate.peakedness.high,
+        estimate.steady,
+        estimate.peakedness.value,
         z,
     )
 
 
 def main():
+    """Prints a table with one row per case."""
     count = int(sys.argv[1]) if len(sys.argv) > 1 else 500
     with ProcessPoolExecutor() as pool:
-        rows = list(pool.map(one, [(name, seed) for name in CASES for seed in range(count)], chunksize=10))
+        rows = list(
+            pool.map(run_case, [(name, seed) for name in CASES for seed in range(count)], chunksize=10)
+        )
     print(
-        f"{'case':22} {'told':>5} {'cover':>6} {'half-width':>10} {'bootstrap':>9} {'Z cover':>8} "
+        f"{'case':22} {'runs':>5} {'cover':>6} {'half-width':>10} {'bootstrap':>9} {'Z cover':>8} "
         f"{'Z':>6} {'true':>6} {'steady':>7}"
     )
     for name in CASES:
-        got = [r for n, r in rows if n == name and r is not None]
-        boots = [r[2] for r in got if r[2] is not None]
+        results = [r for n, r in rows if n == name and r is not None]
+        bootstraps = [r[2] for r in results if r[2] is not None]
         print(
-            f"{name:22} {len(got):5} {np.mean([r[0] for r in got]):6.3f} "
-            f"{np.mean([r[1] for r in got]):10.3f} "
-            f"{np.mean(boots) if boots else float('nan'):9.3f} {np.mean([r[3] for r in got]):8.3f} "
-            f"{np.median([r[5] for r in got]):6.2f} {got[0][6]:6.2f} {np.mean([r[4] for r in got]):7.3f}"
+            f"{name:22} {len(results):5} {np.mean([r[0] for r in results]):6.3f} "
+            f"{np.mean([r[1] for r in results]):10.3f} "
+            f"{np.mean(bootstraps) if bootstraps else float('nan'):9.3f} "
+            f"{np.mean([r[3] for r in results]):8.3f} "
+            f"{np.median([r[5] for r in results]):6.2f} {results[0][6]:6.2f} "
+            f"{np.mean([r[4] for r in results]):7.3f}"
         )
 
 
