--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -1,6 +1,6 @@
-"""What the fleet view costs: processor time a call and mean set-up time with it and without, paired in one
-run; memory of a view of 1,000 members. `fleet_cost.py [PAIRS] [SECONDS] [SOFTSWITCHES] [WHAT]`;
-WHAT is `view` (with it against without) or `budgets` (the view and budgets against the view alone).
+"""Cost of the fleet view: processor time per call and mean setup time with and without it, in pairs of runs;
+memory of a view of 1,000 members. `fleet_cost.py [PAIRS] [SECONDS] [SOFTSWITCHES] [WHAT]`;
+WHAT is `view` (with and without the view) or `budgets` (the view with and without budgets).
 """
 
 import subprocess
@@ -10,7 +10,7 @@
 from pathlib import Path
 from statistics import median
 
-WARM = 10.0  # s that are not counted: starting, joining, and a first allocator
+WARM_UP = 10.0  # s that are not measured: start, joining, and election of the first allocator
 
 
 BUDGETS = (
@@ -20,40 +20,43 @@
 )
 
 
-def day(on, seconds, softswitches, seed, what="view"):
+def run_day(on, seconds, softswitches, seed, what="view"):
+    """Runs a day; prints processor seconds per attempt, mean setup seconds and the established fraction."""
     from softswitch.standin.faults.drill import Drill
 
-    class Measured(Drill):
-        def spent(self):
-            read = (Path(f"/proc/{p.pid}/schedstat").read_text().split()[0] for p in self.programs)
-            return sum(map(int, read)) / 1e9
+    class MeasuredDrill(Drill):
+        def cpu_seconds(self):
+            times = (Path(f"/proc/{p.pid}/schedstat").read_text().split()[0] for p in self.programs)
+            return sum(map(int, times)) / 1e9
 
         def _counted(self):
             super()._counted()
-            self.used = -self.spent()
+            self.used = -self.cpu_seconds()
 
         def _over(self):
             if len(self.marks) == 1:
-                self.used += self.spent()
+                self.used += self.cpu_seconds()
             super()._over()
 
     rate = 30.0 * softswitches
     view, budgets = (on, ()) if what == "view" else (True, BUDGETS if on else ())
-    drill = Measured(
-        softswitches, 2, WARM + seconds, seed, (), rate=rate, view=view, watched=False, budgets=budgets
+    drill = MeasuredDrill(
+        softswitches, 2, WARM_UP + seconds, seed, (), rate=rate, view=view, watched=False, budgets=budgets
     )
-    drill.day = replace(drill.day, warm=WARM, seconds=seconds)
+    drill.day = replace(drill.day, warm=WARM_UP, seconds=seconds)
     total = drill.play().total()
     print(drill.used / total.tries, total.delay_s / max(1, total.carried), total.carried / total.tries)
 
 
-def played(on, seconds, softswitches, seed, what):
-    words = [sys.executable, __file__, "day", str(int(on)), seconds, softswitches, str(seed), what]
-    ran = subprocess.run(words, capture_output=True, text=True, check=True)
-    return [float(word) for word in ran.stdout.split()]
+def run_in_process(on, seconds, softswitches, seed, what):
+    """Runs a day in a separate process and returns the figures that it prints."""
+    command = [sys.executable, __file__, "day", str(int(on)), seconds, softswitches, str(seed), what]
+    completed = subprocess.run(command, capture_output=True, text=True, check=True)
+    return [float(word) for word in completed.stdout.split()]
 
 
-def memory(n=1_000):
+def measure_memory(n=1_000):
+    """Prints the memory of a view of n members."""
     from softswitch.fleet.member import Member, Periods
     from softswitch.fleet.messages import Record, State
 
@@ -81,24 +84,26 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["day"]:
-        day(sys.argv[2] == "1", float(sys.argv[3]), int(sys.argv[4]), int(sys.argv[5]), sys.argv[6])
+        run_day(sys.argv[2] == "1", float(sys.argv[3]), int(sys.argv[4]), int(sys.argv[5]), sys.argv[6])
     else:
-        given = sys.argv[1:] + ["4", "12", "4", "view"][len(sys.argv) - 1 :]
-        costs, waits = [], []
-        for n in range(int(given[0])):
-            # the order alternates, so that drift of the machine falls on both alike
+        args = sys.argv[1:] + ["4", "12", "4", "view"][len(sys.argv) - 1 :]
+        cost_ratios, setup_ratios = [], []
+        for n in range(int(args[0])):
+            # The order alternates, so that changes of the machine's speed affect both alike.
             order = (True, False) if n % 2 else (False, True)
-            found = {on: played(on, given[1], given[2], n, given[3]) for on in order}
-            costs.append(found[True][0] / found[False][0])
-            waits.append(found[True][1] / found[False][1])
-            us = [1e6 * found[on][0] for on in (False, True)]
+            figures = {on: run_in_process(on, args[1], args[2], n, args[3]) for on in order}
+            cost_ratios.append(figures[True][0] / figures[False][0])
+            setup_ratios.append(figures[True][1] / figures[False][1])
+            us = [1e6 * figures[on][0] for on in (False, True)]
             print(
-                f"pair {n}: {us[0]:.0f} us a call without, {us[1]:.0f} with: "
-                f"{costs[-1]:.3f}; mean set-up {1e3 * found[False][1]:.2f} ms without, "
-                f"{1e3 * found[True][1]:.2f} with: {waits[-1]:.3f}; stood {found[False][2]:.3f}, "
-                f"{found[True][2]:.3f}",
+                f"pair {n}: {us[0]:.0f} us per call without, {us[1]:.0f} with: "
+                f"{cost_ratios[-1]:.3f}; mean setup {1e3 * figures[False][1]:.2f} ms without, "
+                f"{1e3 * figures[True][1]:.2f} with: {setup_ratios[-1]:.3f}; "
+                f"established {figures[False][2]:.3f}, {figures[True][2]:.3f}",
                 flush=True,
             )
-        print(f"median ratio: processor time {median(costs):.3f}, mean set-up {median(waits):.3f}")
-        if given[3] == "view":
-            memory()
+        print(
+            f"median ratio: processor time {median(cost_ratios):.3f}, mean setup {median(setup_ratios):.3f}"
+        )
+        if args[3] == "view":
+            measure_memory()
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -1,9 +1,9 @@
-"""The fleet view on virtual time: drawn schedules, planted faults, growth, and plainer ways beside it.
+"""Benchmarks of the fleet view, in simulation on virtual time.
 
-python benchmarks/fleet_view.py drawn 0 10000      # seeds; every schedule must settle, no rule may break
-python benchmarks/fleet_view.py planted            # faults in the code, one at a time: each is found, or
-told python benchmarks/fleet_view.py growth             # bytes and processor time a member, time to
-settle python benchmarks/fleet_view.py plain              # false accusations beside two plainer ways
+python benchmarks/fleet_view.py drawn 0 10000      # generated schedules, by seed: all converge, no violation
+python benchmarks/fleet_view.py planted            # faults injected into the code one by one: which are found
+python benchmarks/fleet_view.py growth             # bytes and processor time per member, time to converge
+python benchmarks/fleet_view.py plain              # false accusations, compared with two simpler protocols
 """
 
 import json
@@ -23,69 +23,74 @@
 from softswitch.standin.faults.schedule import Fault, drawn
 
 
-def one(seed, make=Member):
-    """A fleet and a schedule of this seed; what it showed, as a short text where something is wrong."""
+def run_schedule(seed, make=Member):
+    """Simulates a fleet and a schedule, both generated from the seed.
+
+    Returns (seed, failure or "", events, false suspicions, longest time to converge in s).
+    """
     rng = Random(seed)
-    n, places = rng.randint(3, 14), rng.randint(1, 4)
+    n, site_count = rng.randint(3, 14), rng.randint(1, 4)
     names = [f"n{k}" for k in range(n)]
-    sites = {name: "abcd"[k % places] for k, name in enumerate(names)}
+    sites = {name: "abcd"[k % site_count] for k, name in enumerate(names)}
     faults = drawn(seed, names, sites, 40.0)
-    # One in four runs has lost datagrams all the while, one in four members short of processor.
+    # One run in four loses datagrams throughout, and one in four has members that lack processor time.
     lose, starved = rng.choice((0.0, 0.0, 0.0, 0.1)), rng.choice((0.0, 0.0, 0.0, 0.2))
-    o = play(n, places, 40.0, seed, faults, make=make, lose=lose, starved=starved)
-    wrong = o.broken or ("" if o.settled else "not settled")
-    wrong = wrong or (f"{o.false_gone} falsely gone" if o.false_gone else "")
-    wrong = wrong or (f"{o.planned_gone} planned stops called gone" if o.planned_gone else "")
+    o = play(n, site_count, 40.0, seed, faults, make=make, lose=lose, starved=starved)
+    failure = o.broken or ("" if o.settled else "not converged")
+    failure = failure or (f"{o.false_gone} falsely declared gone" if o.false_gone else "")
+    failure = failure or (f"{o.planned_gone} planned stops declared gone" if o.planned_gone else "")
     lossy = lose or starved or any(f.what in ("lose", "spoil", "slow", "reorder") for f in faults)
-    wrong = wrong or (f"{o.false_suspect} suspected falsely" if o.false_suspect > n and not lossy else "")
-    return seed, wrong, o.events, o.false_suspect, max(o.settle_s, default=0.0)
+    failure = failure or (f"{o.false_suspect} falsely suspected" if o.false_suspect > n and not lossy else "")
+    return seed, failure, o.events, o.false_suspect, max(o.settle_s, default=0.0)
 
 
-def drawn_runs(first, last):
-    began, events, suspects, bad, longest = time.monotonic(), 0, 0, [], 0.0
+def run_schedules(first, last):
+    """Runs the schedules of a range of seeds and prints a summary; returns whether all passed."""
+    started_at, events, suspicions, failures, max_settle = time.monotonic(), 0, 0, [], 0.0
     with ProcessPoolExecutor(len(sched_getaffinity(0))) as pool:
-        for seed, wrong, some, false, settle in pool.map(one, range(first, last), chunksize=20):
-            events, suspects, longest = events + some, suspects + false, max(longest, settle)
-            if wrong:
-                bad.append((seed, wrong))
-    took = time.monotonic() - began
+        for seed, failure, count, false, settle in pool.map(run_schedule, range(first, last), chunksize=20):
+            events, suspicions, max_settle = events + count, suspicions + false, max(max_settle, settle)
+            if failure:
+                failures.append((seed, failure))
+    duration = time.monotonic() - started_at
     print(
-        f"{last - first} schedules, seeds {first} to {last - 1}: {events} steps in {took:.0f} s; "
-        f"{len(bad)} wrong, {suspects} suspected falsely and taken back, longest to settle {longest:.1f} s"
+        f"{last - first} schedules, seeds {first} to {last - 1}: {events} steps in {duration:.0f} s; "
+        f"{len(failures)} failed, {suspicions} false suspicions that were refuted, "
+        f"longest time to converge {max_settle:.1f} s"
     )
-    for seed, wrong in bad[:20]:
-        print(f"  seed {seed}: {wrong}")
-    return not bad
+    for seed, failure in failures[:20]:
+        print(f"  seed {seed}: {failure}")
+    return not failures
 
 
-# Planted faults: each makes one line of the code do something else.
+# Injected faults: each changes the effect of one line of the code.
 
 
-def planted():
-    """Name, and what patches the code; given back is what undoes it."""
+def injected_faults():
+    """Returns by name a function that injects a fault into the code; it returns a function to remove it."""
 
-    def patch(owner, name, made):
+    def patch(owner, name, make_replacement):
         old = getattr(owner, name)
 
         def undo():
             setattr(owner, name, old)
 
-        setattr(owner, name, made(old))
+        setattr(owner, name, make_replacement(old))
         return undo
 
     def merge_any(old):
         def put(self, now, record, age=0.0):
             key = record.key
             if key in self.records and record.incarnation < self.records[key].incarnation:
-                self.drop(key)  # an older word of it holds
+                self.drop(key)  # the older record replaces the newer one
             return old(self, now, record, age)
 
         return put
 
     def ended_revives(old):
         def put(self, now, record, age=0.0):
-            held = self.records.get(record.key)
-            if held is not None and held.state in (State.GONE, State.LEFT) and record.state is State.ALIVE:
+            known = self.records.get(record.key)
+            if known is not None and known.state in (State.GONE, State.LEFT) and record.state is State.ALIVE:
                 self.drop(record.key)
             return old(self, now, record, age)
 
@@ -95,13 +100,13 @@
         return lambda self, now, record: None
 
     def refute_same(old):
-        def of_me(self, now, record):
+        def refute(self, now, record):
             if record.state is State.SUSPECT:
                 self.table.put(now, self.me)
                 return
             old(self, now, record)
 
-        return of_me
+        return refute
 
     def never_confirm(old):
         return lambda self, now, key: self.suspicions.pop(key, None)
@@ -115,7 +120,7 @@
 
         return accuse
 
-    def no_standstill(old):
+    def no_stall(old):
         return lambda self, gap: None
 
     def no_majority(old):
@@ -128,8 +133,8 @@
 
         return retry
 
-    def no_news(old):
-        return lambda self, about="": ()
+    def no_updates(old):
+        return lambda self, recipient="": ()
 
     def no_exchange(old):
         def exchange(self, address):
@@ -138,7 +143,7 @@
 
         return exchange
 
-    def digest_blind(old):
+    def no_differences(old):
         return lambda self, buckets: ()
 
     def no_leave(old):
@@ -160,99 +165,106 @@
         return target
 
     def ack_all(old):
-        def acked(self, now, message):
+        def ack_received(self, now, message):
             self.probe = None
 
-        return acked
+        return ack_received
 
-    def forget_ended(old):
+    def remove_ended(old):
         def put(self, now, record, age=0.0):
-            found = old(self, now, record, age)
+            previous = old(self, now, record, age)
             if record.state in (State.GONE, State.LEFT) and record.key in self.records:
                 self.drop(record.key)
-            return found
+            return previous
 
         return put
 
-    def incarnation_falls(old):
-        def speak(self, now, **changes):
+    def incarnation_one(old):
+        def update_own_record(self, now, **changes):
             if "incarnation" in changes:
                 changes["incarnation"] = 1
             old(self, now, **changes)
 
-        return speak
+        return update_own_record
 
     def ping_wrong(old):
         def ping(self, key, seq):
             old(self, key, seq)
-            said = self.actions[-1]
-            self.actions[-1] = Send(said.to, msgspec.structs.replace(said.message, to=self.me.key))
+            action = self.actions[-1]
+            self.actions[-1] = Send(action.to, msgspec.structs.replace(action.message, to=self.me.key))
 
         return ping
 
     return {
-        "an older word overrides a newer one": lambda: patch(MemberTable, "put", merge_any),
-        "an ended life comes back without a new incarnation": lambda: patch(
-            MemberTable, "put", ended_revives
+        "an older record replaces a newer one": lambda: patch(MemberTable, "put", merge_any),
+        "an ended member revives without a new incarnation": lambda: patch(MemberTable, "put", ended_revives),
+        "no member refutes its suspicion": lambda: patch(Member, "_refute", no_refute),
+        "refuted in the same incarnation": lambda: patch(Member, "_refute", refute_same),
+        "suspicions are dropped, no member is gone": lambda: patch(
+            Member, "_suspicion_expired", never_confirm
         ),
-        "nobody takes back what is said of it": lambda: patch(Member, "_refute", no_refute),
-        "taken back in the same incarnation": lambda: patch(Member, "_refute", refute_same),
-        "suspicions are dropped, nobody is gone": lambda: patch(Member, "_suspicion_expired", never_confirm),
         "gone at the first missed probe": lambda: patch(Member, "_accuse", gone_at_once),
-        "a standstill of one's own goes unseen": lambda: patch(
-            Member, "_compensate_for_stall", no_standstill
-        ),
-        "a minority calls the others gone": lambda: patch(Member, "_check_majority", no_majority),
-        "who is gone is never tried again": lambda: patch(Member, "_retry", no_retry),
-        "no news on the back of probes": lambda: patch(Member, "_updates_for", no_news),
+        "an own stall is not detected": lambda: patch(Member, "_compensate_for_stall", no_stall),
+        "a minority declares the others gone": lambda: patch(Member, "_check_majority", no_majority),
+        "members that are gone are never retried": lambda: patch(Member, "_retry", no_retry),
+        "no updates piggybacked on probes": lambda: patch(Member, "_updates_for", no_updates),
         "no exchanges after joining": lambda: patch(Member, "_exchange", no_exchange),
-        "exchanges that find no difference": lambda: patch(MemberTable, "differing_buckets", digest_blind),
-        "a planned stop says nothing": lambda: patch(Member, "leave", no_leave),
-        "a planned stop says that it is gone, to nobody": lambda: patch(Member, "leave", leave_as_gone),
+        "exchanges find no difference": lambda: patch(MemberTable, "differing_buckets", no_differences),
+        "a planned stop is not announced": lambda: patch(Member, "leave", no_leave),
+        "a planned stop is recorded as gone and not announced": lambda: patch(Member, "leave", leave_as_gone),
         "only the first member is probed": lambda: patch(Member, "_next_target", first_only),
-        "any answer ends a probe": lambda: patch(Member, "_ack_received", ack_all),
-        "ended members are forgotten at once": lambda: patch(MemberTable, "put", forget_ended),
-        "a new own incarnation is 1": lambda: patch(Member, "_update_own_record", incarnation_falls),
+        "any ack ends a probe": lambda: patch(Member, "_ack_received", ack_all),
+        "ended members are removed at once": lambda: patch(MemberTable, "put", remove_ended),
+        "a new own incarnation is 1": lambda: patch(Member, "_update_own_record", incarnation_one),
         "probes name the wrong member": lambda: patch(Member, "_ping", ping_wrong),
-        "no helpers are asked": lambda: patch(code, "HELPERS", lambda old: 0),
-        "suspicion lasts no time": lambda: patch(code, "CONFIRMATIONS", lambda old: 0.0001),
+        "no indirect probes": lambda: patch(code, "HELPERS", lambda old: 0),
+        "suspicions expire at once": lambda: patch(code, "CONFIRMATIONS", lambda old: 0.0001),
     }
 
 
-def find_planted(most=300):
-    found = 0
-    for name, plant in planted().items():
-        undo = plant()
-        hit = None
+def find_faults(max_seeds=300):
+    """Injects each fault alone, runs schedules until one fails, and prints which faults are detected."""
+    detected = 0
+    for name, inject in injected_faults().items():
+        undo = inject()
+        detection = None
         try:
-            for seed in range(most):
+            for seed in range(max_seeds):
                 try:
-                    wrong = one(seed)[1]
+                    failure = run_schedule(seed)[1]
                 except Exception as e:
-                    wrong = f"{type(e).__name__}: {e}"
-                if wrong:
-                    hit = (seed, wrong)
+                    failure = f"{type(e).__name__}: {e}"
+                if failure:
+                    detection = (seed, failure)
                     break
         finally:
             undo()
-        found += hit is not None
-        print(f"{name}: " + (f"found by seed {hit[0]}: {hit[1][:90]}" if hit else f"survives {most} seeds"))
-    print(f"{found} of {len(planted())} found")
+        detected += detection is not None
+        print(
+            f"{name}: "
+            + (
+                f"detected by seed {detection[0]}: {detection[1][:90]}"
+                if detection
+                else f"undetected by {max_seeds} seeds"
+            )
+        )
+    print(f"{detected} of {len(injected_faults())} detected")
 
 
-def growth(sizes):
+def measure_growth(sizes):
+    """Prints one JSON object per number of members: time to converge, bytes and processor time."""
     rows = []
     for n in sizes:
         seconds = 40.0
         faults = [Fault(at_s=20.0, what="kill", who=(f"n{n // 2}",))]
-        began = time.process_time()
+        started_at = time.process_time()
         o = play(n, 4, seconds, 1, faults)
-        cpu = time.process_time() - began
-        quiet = World(n, 4, 2)
-        quiet.run(12_000)
-        base = [(v.bytes_out, v.messages) for v in quiet.nodes.values()]
-        quiet.run(32_000)
-        sent = sum(v.bytes_out for v in quiet.nodes.values()) - sum(b for b, _ in base)
+        cpu = time.process_time() - started_at
+        idle = World(n, 4, 2)
+        idle.run(12_000)
+        base = [(v.bytes_out, v.messages) for v in idle.nodes.values()]
+        idle.run(32_000)
+        sent = sum(v.bytes_out for v in idle.nodes.values()) - sum(b for b, _ in base)
         rows.append(
             {
                 "members": n,
@@ -268,10 +280,11 @@
     return rows
 
 
-class Plain(Member):
-    """Everyone pings everyone each period, and who misses three is gone: no helpers, no suspicion."""
+class AllToAllMember(Member):
+    """Pings all members in each period; one that misses three is gone: no indirect probes, no suspicion."""
 
     def tick(self, now):
+        """Handles due timers; returns the actions."""
         if not hasattr(self, "missed"):
             self.missed, self.round_at = {}, now
         if now >= self.round_at and not self.leaving:
@@ -292,16 +305,18 @@
         return self._take_actions()
 
     def next_at(self):
+        """Returns the time of the next call of `tick`."""
         return min(getattr(self, "round_at", 0.0), self.next_retry)
 
     def datagram_received(self, now, message):
+        """Resets the sender's count of missed pings."""
         if hasattr(message, "header") and hasattr(self, "missed"):
             self.missed[message.header.sender.key] = 0
         return super().datagram_received(now, message)
 
 
-class Hasty(Member):
-    """SWIM without suspicion: gone at the first probe that failed, directly and through helpers."""
+class NoSuspicionMember(Member):
+    """SWIM without suspicion: a member is gone when the direct and the indirect probes fail once."""
 
     def _accuse(self, now, key):
         record = self.table.records.get(key)
@@ -309,15 +324,20 @@
             self._merge(now, (msgspec.structs.replace(record, state=State.GONE),))
 
 
-def plain(members, seconds=60.0, seeds=(1, 2, 3)):
+def compare_protocols(members, seconds=60.0, seeds=(1, 2, 3)):
+    """Prints members falsely declared gone, and bytes sent, for this protocol and two simpler ones."""
     print(
-        f"{members} members, {seconds:g} s, 5% starved, {len(seeds)} seeds: lives called gone that never "
-        "stopped; bytes a second and member"
+        f"{members} members, {seconds:g} s, 5% starved, {len(seeds)} seeds: members falsely declared gone; "
+        "bytes per second and member"
     )
     for lose in (0.0, 0.05, 0.1, 0.2, 0.3):
         line = [f"loss {lose:.0%}"]
-        ways = (("this", Member), ("without suspicion", Hasty), ("everyone pings everyone", Plain))
-        for name, make in ways:
+        variants = (
+            ("this", Member),
+            ("without suspicion", NoSuspicionMember),
+            ("all-to-all pings", AllToAllMember),
+        )
+        for name, make in variants:
             false, sent = 0, 0.0
             for seed in seeds:
                 o = play(members, 4, seconds, seed, (), make=make, starved=0.05, lose=lose)
@@ -327,14 +347,14 @@
 
 
 if __name__ == "__main__":
-    asked = sys.argv[1:] or ["drawn", "0", "1000"]
-    if asked[0] == "drawn":
-        sys.exit(0 if drawn_runs(int(asked[1]), int(asked[2])) else 1)
-    elif asked[0] == "planted":
-        find_planted(int(asked[1]) if len(asked) > 1 else 300)
-    elif asked[0] == "growth":
-        growth([int(n) for n in asked[1:]] or [10, 100, 1000])
-    elif asked[0] == "plain":
-        plain(int(asked[1]) if len(asked) > 1 else 60)
+    args = sys.argv[1:] or ["drawn", "0", "1000"]
+    if args[0] == "drawn":
+        sys.exit(0 if run_schedules(int(args[1]), int(args[2])) else 1)
+    elif args[0] == "planted":
+        find_faults(int(args[1]) if len(args) > 1 else 300)
+    elif args[0] == "growth":
+        measure_growth([int(n) for n in args[1:]] or [10, 100, 1000])
+    elif args[0] == "plain":
+        compare_protocols(int(args[1]) if len(args) > 1 else 60)
     else:
         sys.exit(__doc__)
