--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -1,5 +1,5 @@
-"""The planner against brute force on drawn small networks, 100 groups against the clock, and plans fed back
-through the event simulation. `python benchmarks/planning.py [NETWORKS]` (default 200).
+"""The planner compared with brute force on small random networks, its time for 100 groups, and the loss of
+its plans in the event simulation. `python benchmarks/planning.py [NETWORKS]` (default 200).
 """
 
 import sys
@@ -13,16 +13,21 @@
 from softswitch.dimension.network import Group, Stream
 
 
-def drawn(seed, finals=1, direct=2, most=6, reserve=0):
-    """A network of so many final groups, each with so many groups that overflow to it."""
+def random_network(seed, finals=1, direct=2, max_modules=6, reserve=0):
+    """Returns (groups, streams) of a random network.
+
+    finals: final groups. direct: groups that overflow to each final group.
+    """
     random, groups, streams = Random(seed), [], []
     for f in range(finals):
         groups.append(
-            Group(f"f{f}", random.choice((1, 2, 3, 6)), random.uniform(1, 4), 2 * most, reserve=reserve)
+            Group(
+                f"f{f}", random.choice((1, 2, 3, 6)), random.uniform(1, 4), 2 * max_modules, reserve=reserve
+            )
         )
         for k in range(direct):
             name = f"d{f}.{k}"
-            groups.append(Group(name, random.choice((1, 2, 4)), random.uniform(0.5, 4), most, f"f{f}"))
+            groups.append(Group(name, random.choice((1, 2, 4)), random.uniform(0.5, 4), max_modules, f"f{f}"))
             streams.append(
                 Stream(
                     f"s{name}",
@@ -36,9 +41,10 @@
     return groups, streams
 
 
-def against_brute(seed):
+def compare_with_brute_force(seed):
+    """Returns the costs found by the planner and by brute force for a random network; None without a plan."""
     random = Random(seed)
-    groups, streams = drawn(seed, 1, random.choice((1, 2, 3)), random.choice((4, 6)))
+    groups, streams = random_network(seed, 1, random.choice((1, 2, 3)), random.choice((4, 6)))
     try:
         cost = planner.plan(groups, streams).cost
     except planner.Infeasible:
@@ -50,92 +56,95 @@
     return cost, best
 
 
-def fed_back(seed):
-    """(stream, target, lost in the simulation, its standard error over ten runs) of a plan with random
-    streams.
+def simulate_plan(seed):
+    """Plans a network with random traffic and simulates the plan in ten runs.
+
+    Returns (stream, target, simulated loss, its standard error, predicted loss) of each stream.
     """
-    groups, streams = drawn(seed, 1, 3, 14)
+    groups, streams = random_network(seed, 1, 3, 14)
     streams = [Stream(s.name, s.group, s.erlangs, s.target) for s in streams]
     try:
-        found = planner.plan(groups, streams)
+        plan = planner.plan(groups, streams)
     except planner.Infeasible:
         return []
     demands = [
         simulate.Demand(s.name, s.erlangs, (s.group, "f0") if s.group != "f0" else ("f0",)) for s in streams
     ]
-    shares = {s.name: [] for s in streams}
+    losses = {s.name: [] for s in streams}
     for run in range(10):
-        out = simulate.play(
-            [simulate.Group(g.name, found.circuits[g.name]) for g in groups],
+        outcome = simulate.play(
+            [simulate.Group(g.name, plan.circuits[g.name]) for g in groups],
             demands,
             2000.0,
             1000 * seed + run,
             warm=20.0,
         )
-        for name, seen in out.demands.items():
-            shares[name].append(seen.lost / seen.calls)
+        for name, counts in outcome.demands.items():
+            losses[name].append(counts.lost / counts.calls)
     return [
         (
             s.name,
             s.target,
-            float(np.mean(shares[s.name])),
-            float(np.std(shares[s.name], ddof=1) / 10**0.5),
-            found.service.lost[s.name],
+            float(np.mean(losses[s.name])),
+            float(np.std(losses[s.name], ddof=1) / 10**0.5),
+            plan.service.lost[s.name],
         )
         for s in streams
     ]
 
 
-def checked(seed):
-    """(stream, target, lost on other seeds, its standard error) of a plan that was played before it was
-    told.
+def simulate_checked_plan(seed):
+    """Plans a network with `planner.checked`, which simulates plans, and simulates the result on other seeds.
+
+    Returns (stream, target, simulated loss, its standard error) of each stream.
     """
-    groups, streams = drawn(seed, 1, 3, 14)
+    groups, streams = random_network(seed, 1, 3, 14)
     streams = [Stream(s.name, s.group, s.erlangs, s.target) for s in streams]
     try:
-        found, _ = planner.checked(groups, streams)
+        plan, _ = planner.checked(groups, streams)
     except planner.Infeasible:
         return []
-    seen = planner.lost_in_play(groups, streams, found.circuits, "middle", 77_000 + seed, 10, 2000.0)
-    return [(s.name, s.target, *seen[s.name]) for s in streams]
+    losses = planner.lost_in_play(groups, streams, plan.circuits, "middle", 77_000 + seed, 10, 2000.0)
+    return [(s.name, s.target, *losses[s.name]) for s in streams]
 
 
 def main():
+    """Prints the results of all comparisons."""
     count = int(sys.argv[1]) if len(sys.argv) > 1 else 200
     with ProcessPoolExecutor() as pool:
-        rows = list(pool.map(against_brute, range(count), chunksize=5))
-        same = sum(a == b or (a is not None and b is not None and abs(a - b) < 1e-9) for a, b in rows)
+        rows = list(pool.map(compare_with_brute_force, range(count), chunksize=5))
+        equal = sum(a == b or (a is not None and b is not None and abs(a - b) < 1e-9) for a, b in rows)
         print(
-            f"{same} of {count} drawn networks: cost equal to brute force "
-            f"({sum(b is None for _, b in rows)} of them without a plan, told so by both)"
+            f"{equal} of {count} random networks: cost equal to brute force "
+            f"({sum(b is None for _, b in rows)} of them without a plan by either method)"
         )
-        groups, streams = drawn(3, 20, 4, 14)
-        began = time.perf_counter()
-        found = planner.plan(groups, streams, each=pool.map)
+        groups, streams = random_network(3, 20, 4, 14)
+        started_at = time.perf_counter()
+        plan = planner.plan(groups, streams, each=pool.map)
         print(
-            f"{len(groups)} groups in {time.perf_counter() - began:.1f} s: cost {found.cost:.1f}, "
-            f"{found.rounds} programmes, {found.evaluated} choices looked at, monotone {found.monotone}"
+            f"{len(groups)} groups in {time.perf_counter() - started_at:.1f} s: cost {plan.cost:.1f}, "
+            f"{plan.rounds} integer programs, {plan.evaluated} choices evaluated, monotone {plan.monotone}"
         )
-        told = [row for rows in pool.map(fed_back, range(40)) for row in rows]
-        played = [row for rows in pool.map(checked, range(100, 160)) for row in rows]
+        simulated = [row for rows in pool.map(simulate_plan, range(40)) for row in rows]
+        checked = [row for rows in pool.map(simulate_checked_plan, range(100, 160)) for row in rows]
     missed = [
-        (name, target, lost, error) for name, target, lost, error, _ in told if lost - 2 * error > target
+        (name, target, lost, error) for name, target, lost, error, _ in simulated if lost - 2 * error > target
     ]
-    ratio = [lost / want for _, _, lost, _, want in told if want > 1e-3]
+    ratio = [lost / predicted for _, _, lost, _, predicted in simulated if predicted > 1e-3]
     print(
-        f"plans fed back: {len(told) - len(missed)} of {len(told)} streams within their target (2 standard "
-        f"errors); lost over predicted: median {np.median(ratio):.2f}, 10 to 90%: "
+        f"simulated plans: {len(simulated) - len(missed)} of {len(simulated)} streams within their target "
+        f"(2 standard errors); simulated over predicted loss: median {np.median(ratio):.2f}, 10 to 90%: "
         f"{np.quantile(ratio, 0.1):.2f} to {np.quantile(ratio, 0.9):.2f}"
     )
     for row in missed:
-        print("  over its target:", *(f"{x:.5f}" if isinstance(x, float) else x for x in row))
-    over = [row for row in played if row[2] - 2 * row[3] > row[1]]
+        print("  above its target:", *(f"{x:.5f}" if isinstance(x, float) else x for x in row))
+    exceeding = [row for row in checked if row[2] - 2 * row[3] > row[1]]
     print(
-        f"checked plans of 60 other networks: {len(played) - len(over)} of {len(played)} streams within "
-        "their target"
+        f"checked plans of 60 other networks: {len(checked) - len(exceeding)} of {len(checked)} streams "
+        "within their target"
     )
-    for row in over:
-        print("  over its target:", *(f"{x:.5f}" if isinstance(x, float) else x for x in row))
+    for row in exceeding:
+        print("  above its target:", *(f"{x:.5f}" if isinstance(x, float) else x for x in row))
 
 
 if __name__ == "__main__":
--- a/benchmarks/replay_sockets.py
+++ b/benchmarks/replay_sockets.py
@@ -1,7 +1,7 @@
-"""Traffic days on real sockets: predicted against observed blocking.
+"""Predicted and observed blocking of several traffic patterns, on real sockets.
 
-A softswitch and stand-in engines with known circuits play each day; the softswitch's own traffic record is
-all that the prediction sees. All days run at once:
+Each pattern runs a softswitch with stand-in engines of known circuits. The prediction uses only the traffic
+record of the softswitch. All patterns run in parallel:
 `python benchmarks/replay_sockets.py [SECONDS]` (default 150 s, about 3 minutes).
 """
 
@@ -11,27 +11,33 @@
 from concurrent.futures import ThreadPoolExecutor
 from math import sqrt
 
-HOLD, AIM = 1.0, 0.01
-MARGIN = 0.02  # predicted and observed blocking may lie so far apart
+HOLDING_TIME, LATENCY_OBJECTIVE = 1.0, 0.01
+MARGIN = 0.02  # the largest accepted difference between predicted and observed blocking
 
 
-def days():
+def traffic_patterns():
+    """Returns the settings of each pattern's day by its name."""
     from softswitch.standin.engine import EngineSettings
     from softswitch.standin.fleet import ClassSettings
     from softswitch.standin.traffic import StreamSettings
 
-    def engine(n, circuits, **more):
-        return EngineSettings(f"s-{n + 1:08x}", n, circuits, hold={"x": HOLD, "wide": HOLD}, **more)
+    def engine(n, circuits, **options):
+        return EngineSettings(
+            f"s-{n + 1:08x}", n, circuits, hold={"x": HOLDING_TIME, "wide": HOLDING_TIME}, **options
+        )
 
     one, both = (
-        (ClassSettings("x", AIM, HOLD),),
-        (ClassSettings("x", AIM, HOLD), ClassSettings("wide", AIM, HOLD)),
+        (ClassSettings("x", LATENCY_OBJECTIVE, HOLDING_TIME),),
+        (
+            ClassSettings("x", LATENCY_OBJECTIVE, HOLDING_TIME),
+            ClassSettings("wide", LATENCY_OBJECTIVE, HOLDING_TIME),
+        ),
     )
 
-    def stream(erlangs, klass="x", **more):
-        return StreamSettings(klass, erlangs / HOLD, **{"dest": 0} | more)
+    def stream(erlangs, call_class="x", **options):
+        return StreamSettings(call_class, erlangs / HOLDING_TIME, **{"dest": 0} | options)
 
-    switched = {"on": 2 * HOLD, "off": 2 * HOLD}
+    switched = {"on": 2 * HOLDING_TIME, "off": 2 * HOLDING_TIME}
     surge = ((0.0, 0.7), (40.0, 1.6), (70.0, 0.7))
     return {
         "random": dict(engines=(engine(0, 20),), classes=one, streams=(stream(16),)),
@@ -53,13 +59,18 @@
             streams=(stream(10, number="0"), stream(8, dest=1, number="1")),
         ),
         "redials": dict(
-            engines=(engine(0, 20),), classes=one, streams=(stream(17),), tries=4, again=0.8, pause=4 * HOLD
+            engines=(engine(0, 20),),
+            classes=one,
+            streams=(stream(17),),
+            tries=4,
+            again=0.8,
+            pause=4 * HOLDING_TIME,
         ),
     }
 
 
-def play(name, seconds, seed):
-    """One day in this process: what was predicted and what was seen, as a dict."""
+def run_pattern(name, seconds, seed):
+    """Runs a pattern in this process; returns predicted and observed figures as a dict."""
     from softswitch.cli.trunks import make_sample
     from softswitch.dimension import loss, mutual, peaked_traffic, report, traffic, widths
     from softswitch.dimension.traffic import joined
@@ -68,9 +79,9 @@
     from softswitch.standin.fleet import Day, Fleet
 
     day = Day(
-        **days()[name],
+        **traffic_patterns()[name],
         seconds=seconds,
-        warm=10 * HOLD,
+        warm=10 * HOLDING_TIME,
         seed=seed,
         record_interval=10.0,
         record_slot=0.1,
@@ -79,52 +90,52 @@
     result = Fleet(day).play()
     streams = measured([read(p) for p in result.records]).streams
     samples = {(s.dest, s.klass): make_sample(s) for s in streams}
-    found = {k: report.steady(s) for k, s in samples.items()}
+    estimates = {k: report.steady(s) for k, s in samples.items()}
     circuits = [e.circuits for e in day.engines]
-    erlangs = {k: whole.erlangs.value for k, (_, whole) in found.items()}
+    erlangs = {k: entire.erlangs.value for k, (_, entire) in estimates.items()}
     tallies = result.tallies
-    tries = sum(t.tries for t in tallies.values())
-    observed = sum(t.codes[503] + t.codes[500] for t in tallies.values()) / tries
+    attempts = sum(t.tries for t in tallies.values())
+    observed = sum(t.codes[503] + t.codes[500] for t in tallies.values()) / attempts
     total = sum(erlangs.values())
     lost = sum(s.lost_tries for s in streams)
-    # how long calls without a circuit were held
-    held = sum(s.lost_seconds for s in streams) / max(1, lost) / HOLD
-    waits = loss.erlang_held(sum(circuits), total, held) / loss.erlang_b(sum(circuits), total)
+    # mean time that calls without a circuit were queued, in holding times
+    queued = sum(s.lost_seconds for s in streams) / max(1, lost) / HOLDING_TIME
+    queueing_factor = loss.erlang_held(sum(circuits), total, queued) / loss.erlang_b(sum(circuits), total)
     plain = loss.erlang_b(sum(circuits), total)
-    more, need = {}, None
+    details, need = {}, None
     if name == "peaky":
-        best = found[0, "x"][0]
+        best = estimates[0, "x"][0]
         z, phases = best.peakedness.value, traffic.phases(samples[0, "x"], best.hold.value)
         predicted = peaked_traffic.switched_blocking(circuits[0], total, *phases)[0]
         need = (
             loss.whole(loss.circuits_for(total, 0.01)),
             loss.whole(peaked_traffic.circuits_for(total, 0.01, z)),
         )
-        more = {
+        details = {
             "two moments": round(peaked_traffic.blocking(circuits[0], total, z), 4),
             "phases": phases,
             "z": z,
             "z true": peaked_traffic.switched(16, 2, 2)[1],
         }
     elif name == "surge":
-        parts, hold = found[0, "x"][1].segments, found[0, "x"][1].hold.value
-        calls = [p.rate * (p.to - p.since) for p in parts]
+        segments, hold = estimates[0, "x"][1].segments, estimates[0, "x"][1].hold.value
+        calls = [s.rate * (s.to - s.since) for s in segments]
         predicted = sum(
-            c * loss.erlang_b(circuits[0], p.rate * hold) for c, p in zip(calls, parts, strict=True)
+            c * loss.erlang_b(circuits[0], s.rate * hold) for c, s in zip(calls, segments, strict=True)
         ) / sum(calls)
-        peak = max(p.rate for p in parts) * hold
+        peak = max(s.rate for s in segments) * hold
         need = (loss.whole(loss.circuits_for(total, 0.01)), loss.whole(loss.circuits_for(peak, 0.01)))
-        more = {"segments": [round(p.rate * hold, 2) for p in parts]}
+        details = {"segments": [round(s.rate * hold, 2) for s in segments]}
     elif name == "two widths":
-        shares = widths.blocking(
+        blockings = widths.blocking(
             circuits[0], [widths.Stream(erlangs[0, "x"]), widths.Stream(erlangs[0, "wide"], 3)]
         )
         rates = [float(samples[0, k].first.sum()) for k in ("x", "wide")]
-        predicted = sum(r * b for r, b in zip(rates, shares, strict=True)) / sum(rates)
+        predicted = sum(r * b for r, b in zip(rates, blockings, strict=True)) / sum(rates)
         by_class = {k: (t.codes[503] + t.codes[500]) / t.tries for (k, _), t in tallies.items()}
-        more = {
+        details = {
             "by class": {
-                k: [round(b, 4), round(by_class[k], 4)] for k, b in zip(("x", "wide"), shares, strict=True)
+                k: [round(b, 4), round(by_class[k], 4)] for k, b in zip(("x", "wide"), blockings, strict=True)
             }
         }
         plain = loss.erlang_b(circuits[0], erlangs[0, "x"] + 3 * erlangs[0, "wide"])
@@ -133,56 +144,65 @@
         both = mutual.pair((circuits[0], circuits[1]), (erlangs[0, "x"], erlangs[1, "x"]), reserve)
         predicted = (both.first * erlangs[0, "x"] + both.second * erlangs[1, "x"]) / total
         by_dest = {d: (t.codes[503] + t.codes[500]) / t.tries for (_, d), t in sorted(tallies.items())}
-        more = {
+        details = {
             "by dest": [
                 [round(both.first, 4), round(by_dest[0], 4)],
                 [round(both.second, 4), round(by_dest[1], 4)],
             ]
         }
     elif name == "redials":
-        # tries are limited, so the redial share of blocked tries is the one that was seen
+        # The number of attempts is limited, so the redial probability is the observed fraction of blocked
+        # attempts that were redialed.
         redials = sum(s.redials for s in samples.values())
         blocked = sum(s.lost_tries for s in streams)
         predicted, _ = loss.erlang_b_redials(circuits[0], total, min(0.99, redials / max(1, blocked)))
-        more = {"again seen": round(redials / max(1, blocked), 3)}
+        details = {"again seen": round(redials / max(1, blocked), 3)}
     else:
         predicted = plain
     loss_only = predicted
-    predicted *= waits  # exact for random calls; for the others, as far as for random calls of that load
-    first = joined(list(samples.values()))
+    # The factor is exact for random traffic; for other traffic it is that of random traffic of the same load.
+    predicted *= queueing_factor
+    sample = joined(list(samples.values()))
     return {
         "day": name,
-        "calls": int(first.first.sum()),
+        "calls": int(sample.first.sum()),
         "erlangs": round(total, 2),
         "observed": round(observed, 4),
-        "noise": round(1.96 * sqrt(observed * (1 - observed) / tries), 4),
+        "noise": round(1.96 * sqrt(observed * (1 - observed) / attempts), 4),
         "predicted": round(predicted, 4),
         "without holding": round(loss_only, 4),
-        "held ms": round(1000 * held * HOLD, 1),
+        "held ms": round(1000 * queued * HOLDING_TIME, 1),
         "plain": round(plain, 4),
         "need": need,
-        "steady": all(w.steady for _, w in found.values()),
-        **more,
+        "steady": all(entire.steady for _, entire in estimates.values()),
+        **details,
         "held": abs(predicted - observed) <= MARGIN,
     }
 
 
 def main():
+    """Runs all patterns, each in a separate process, and prints one JSON object per pattern."""
     if len(sys.argv) == 4:
-        print(json.dumps(play(sys.argv[1], float(sys.argv[2]), int(sys.argv[3]))))
+        print(json.dumps(run_pattern(sys.argv[1], float(sys.argv[2]), int(sys.argv[3]))))
         return
     seconds = sys.argv[1] if len(sys.argv) > 1 else "150"
 
     def run(name):
-        ran = subprocess.run([sys.executable, __file__, name, seconds, "11"], capture_output=True, text=True)
-        return json.loads(ran.stdout) if ran.returncode == 0 else {"day": name, "failed": ran.stderr[-800:]}
+        completed = subprocess.run(
+            [sys.executable, __file__, name, seconds, "11"], capture_output=True, text=True
+        )
+        return (
+            json.loads(completed.stdout)
+            if completed.returncode == 0
+            else {"day": name, "failed": completed.stderr[-800:]}
+        )
 
     with ThreadPoolExecutor(7) as pool:
-        rows = list(pool.map(run, days()))
+        rows = list(pool.map(run, traffic_patterns()))
     for row in rows:
         print(json.dumps(row))
-    good = sum(bool(r.get("held")) for r in rows)
-    print(f"{good} of {len(rows)} days: predicted within {MARGIN} of observed")
+    within_margin = sum(bool(r.get("held")) for r in rows)
+    print(f"{within_margin} of {len(rows)} days: predicted within {MARGIN} of observed")
 
 
 if __name__ == "__main__":
--- a/benchmarks/site_variant.py
+++ b/benchmarks/site_variant.py
@@ -1,7 +1,8 @@
-"""Lays a deployment of our own out for the bench: `site_variant.py deploy/sites/NAME.toml FOLDER`.
+"""Prepares the folder of one of our sites for the bench: `site_variant.py deploy/sites/NAME.toml FOLDER`.
 
-The bench wants real.json, wire.json and unlock.txt beside a site file. They belong to the kit and are not
-kept here: they are taken from the other customer's folder of it, beside this project, as the folder is made.
+The bench requires real.json, wire.json and unlock.txt in the folder of a site file. They belong to the kit
+and are not stored in this project: they are copied from the other customer's folder of the kit, which is next
+to this project.
 """
 
 import shutil
@@ -9,19 +10,20 @@
 from pathlib import Path
 
 KIT = Path(__file__).resolve().parent.parent.parent / "given" / "kit" / "more" / "mass" / "other"
-BESIDE = ("real.json", "wire.json", "unlock.txt")
+KIT_FILES = ("real.json", "wire.json", "unlock.txt")
 
 
 def main(site: str, folder: str) -> int:
+    """Copies the kit's files and the site file to the folder; returns the exit code."""
     source, target = Path(site), Path(folder)
     if not source.is_file():
-        print(f"{source}: no such site file; ours are in deploy/sites/", file=sys.stderr)
+        print(f"{source}: no such site file; the site files are in deploy/sites/", file=sys.stderr)
         return 2
     if not KIT.is_dir():
-        print(f"{KIT}: the kit is not beside the project", file=sys.stderr)
+        print(f"{KIT}: the kit is not next to the project", file=sys.stderr)
         return 2
     target.mkdir(parents=True, exist_ok=True)
-    for name in BESIDE:
+    for name in KIT_FILES:
         shutil.copy(KIT / name, target / name)
     print(shutil.copy(source, target / source.name))
     return 0
