--- a/benchmarks/coverage.py
+++ b/benchmarks/coverage.py
@@ -39,7 +39,7 @@
         found = traffic.estimate(
             traffic.Sample(seen.slot, seen.first, seen.erlang_time, seen.ended, seen.held2)
         )
-    except traffic.OutOfRange:
+    except traffic.OutOfRangeError:
         return name, None
     boot = found.bootstrap
     z = peaked_traffic.switched(erlangs, more["on"], more["off"])[1] if more.get("on", inf) < inf else 1.0
--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -41,11 +41,11 @@
     groups, streams = drawn(seed, 1, random.choice((1, 2, 3)), random.choice((4, 6)))
     try:
         cost = planner.plan(groups, streams).cost
-    except planner.Infeasible:
+    except planner.InfeasibleError:
         cost = None
     try:
         best = planner.brute(groups, streams)[0]
-    except planner.Infeasible:
+    except planner.InfeasibleError:
         best = None
     return cost, best
 
@@ -58,7 +58,7 @@
     streams = [Stream(s.name, s.group, s.erlangs, s.target) for s in streams]
     try:
         found = planner.plan(groups, streams)
-    except planner.Infeasible:
+    except planner.InfeasibleError:
         return []
     demands = [
         simulate.Demand(s.name, s.erlangs, (s.group, "f0") if s.group != "f0" else ("f0",)) for s in streams
@@ -94,7 +94,7 @@
     streams = [Stream(s.name, s.group, s.erlangs, s.target) for s in streams]
     try:
         found, _ = planner.checked(groups, streams)
-    except planner.Infeasible:
+    except planner.InfeasibleError:
         return []
     seen = planner.lost_in_play(groups, streams, found.circuits, "middle", 77_000 + seed, 10, 2000.0)
     return [(s.name, s.target, *seen[s.name]) for s in streams]
--- a/softswitch/agent.py
+++ b/softswitch/agent.py
@@ -27,7 +27,7 @@
 KILL_AFTER = 15.0  # s that a drain may take
 
 
-class BadFile(Exception):
+class AgentConfigError(Exception):
     """An agent's file that cannot be served."""
 
 
@@ -53,9 +53,9 @@
             for i in instances
         ]
     except KeyError as e:
-        raise BadFile(f"{path}: {e} is missing") from None
+        raise AgentConfigError(f"{path}: {e} is missing") from None
     except (OSError, ValueError, TypeError) as e:
-        raise BadFile(f"{path}: {e}") from None
+        raise AgentConfigError(f"{path}: {e}") from None
 
 
 class Watched(ProcessProtocol):
@@ -224,7 +224,7 @@
             os.unlink(socket)  # left by an agent that was killed
         reactor.listenUNIX(socket, agent, mode=0o600)
     except Exception as e:
-        raise BadFile(f"{socket}: {e}") from None
+        raise AgentConfigError(f"{socket}: {e}") from None
 
     def begin() -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
--- a/softswitch/cli/agents.py
+++ b/softswitch/cli/agents.py
@@ -29,7 +29,7 @@
     logger.add(sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", backtrace=False, diagnose=False)
     try:
         return supervision.run(file)
-    except supervision.BadFile as e:
+    except supervision.AgentConfigError as e:
         print(f"willowhitch: {e}", file=sys.stderr)
         return 2
 
--- a/softswitch/cli/config.py
+++ b/softswitch/cli/config.py
@@ -8,7 +8,7 @@
 import typer
 
 from softswitch.cli import bad
-from softswitch.operator.load import BadOperatorFile, load
+from softswitch.operator.load import OperatorFileError, load
 from softswitch.operator.tables import Operator
 
 
@@ -25,7 +25,7 @@
 def _loaded(file: str) -> Operator:
     try:
         return load(file)
-    except BadOperatorFile as e:
+    except OperatorFileError as e:
         bad(e)
 
 
--- a/softswitch/cli/traffic.py
+++ b/softswitch/cli/traffic.py
@@ -11,7 +11,7 @@
 
 from softswitch.cli import bad
 from softswitch.measure.record import OTHER, OUTCOMES, histogram
-from softswitch.measure.recordfile import BadRecord, read
+from softswitch.measure.recordfile import RecordFileError, read
 
 
 def application() -> typer.Typer:
@@ -92,7 +92,7 @@
     """What a record holds: outcomes by route, load by cell."""
     try:
         contents = read(file)
-    except BadRecord as e:
+    except RecordFileError as e:
         bad(e)
     told = summary(contents.entries)
     if as_json:
--- a/softswitch/cli/trunks.py
+++ b/softswitch/cli/trunks.py
@@ -19,9 +19,9 @@
 from softswitch.cli import bad
 from softswitch.cli.traffic import cell
 from softswitch.dimension import loss, network, peaked_traffic, planner, report
-from softswitch.dimension.loss import OutOfRange
+from softswitch.dimension.loss import OutOfRangeError
 from softswitch.dimension.traffic import Interval, Sample
-from softswitch.measure.recordfile import BadRecord, read
+from softswitch.measure.recordfile import RecordFileError, read
 from softswitch.measure.streams import Measured, Stream, measured
 
 POOL_FROM = 24  # groups from which a plan is worked out by several processes
@@ -67,7 +67,7 @@
         total = erlangs
         if redials:
             if peakedness != 1.0 or day_variance:
-                raise OutOfRange(
+                raise OutOfRangeError(
                     "--redials goes with random traffic alone: leave out --peakedness and --day-variance"
                 )
             share, total = loss.erlang_b_redials(circuits, erlangs, redials)
@@ -76,7 +76,7 @@
         else:
             share = peaked_traffic.blocking(circuits, erlangs, peakedness)
         plain = loss.erlang_b(circuits, erlangs)
-    except OutOfRange as e:
+    except OutOfRangeError as e:
         bad(e)
     told = {
         "blocking": share,
@@ -108,7 +108,7 @@
         plain = loss.whole(loss.circuits_for(erlangs, target))
         needed = loss.whole(exact)
         share = peaked_traffic.blocking(needed, erlangs, peakedness)
-    except OutOfRange as e:
+    except OutOfRangeError as e:
         bad(e)
     told = {
         "circuits": needed,
@@ -147,7 +147,7 @@
 def records(files: list[str]) -> Measured:
     try:
         return measured([read(file) for file in files])
-    except BadRecord as e:
+    except RecordFileError as e:
         bad(e)
 
 
@@ -174,7 +174,7 @@
         try:
             best, whole = report.steady(sample_of(stream), level, precision)
             need = report.circuits(best, target)
-        except OutOfRange as e:
+        except OutOfRangeError as e:
             short.append({"dest": stream.dest, "class": stream.klass, "why": str(e)})
             notes.append(f"{name}: {e}")
             continue
@@ -334,7 +334,7 @@
     ]
     try:
         network.check(groups, streams)
-    except OutOfRange as e:
+    except OutOfRangeError as e:
         bad(f"{file}: {e}")
     return groups, streams
 
@@ -373,9 +373,9 @@
                 with ProcessPoolExecutor() as pool:
                     return groups, streams, planner.plan(groups, streams, where, pool.map)
             return groups, streams, planner.plan(groups, streams, where)
-    except OutOfRange as e:
+    except OutOfRangeError as e:
         bad(f"{file}: {e}")
-    except planner.Infeasible as e:
+    except planner.InfeasibleError as e:
         print(f"willowhitch: {file}: no plan: {e}; allow more modules or a larger target", file=sys.stderr)
         raise SystemExit(1) from None
 
@@ -482,7 +482,7 @@
         given = found.circuits
     try:
         ends = planner.what_if(groups, streams, given, lose, factor)
-    except OutOfRange as e:
+    except OutOfRangeError as e:
         bad(f"{file}: {e}")
     if as_json:
         print(
@@ -524,7 +524,7 @@
         else:
             figure = plots.blocking_band(erlangs, low or erlangs, high or erlangs, peakedness)
         figure.savefig(out, dpi=120)
-    except OutOfRange as e:
+    except OutOfRangeError as e:
         bad(e)
     except (OSError, ValueError) as e:
         bad(f"{out}: {e}; name a .png, .svg or .pdf file that can be written")
--- a/softswitch/configuration.py
+++ b/softswitch/configuration.py
@@ -199,12 +199,12 @@
     if not path:
         return None
     try:
-        from softswitch.operator.load import BadOperatorFile, load
+        from softswitch.operator.load import OperatorFileError, load
     except ImportError as e:
         name = environment.names(environment.OPERATOR_FILE)[0]
         remedy = "pip install 'willowhitch[operator]'"
         raise ConfigurationError(f"{name}: needs {e.name}: {remedy}") from None
     try:
         return load(path)
-    except BadOperatorFile as e:
+    except OperatorFileError as e:
         raise ConfigurationError(str(e)) from None
--- a/softswitch/dimension/loss.py
+++ b/softswitch/dimension/loss.py
@@ -1,7 +1,7 @@
 """Blocking of one trunk group offered random (Poisson) or finite-source traffic.
 
 Traffic is in erlangs, circuits are a count and may be real where the docstring says so, probabilities are
-0 to 1. All functions raise `OutOfRange` with the argument's name on what has no answer.
+0 to 1. All functions raise `OutOfRangeError` with the argument's name on what has no answer.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 STEPS = 200_000  # terms of a series or a continued fraction; at 1e6 circuits some 10,000 are needed
 
 
-class OutOfRange(ValueError):
+class OutOfRangeError(ValueError):
     """An argument for which a formula has no answer; the text names it, its value and what is allowed."""
 
 
@@ -30,7 +30,7 @@
     )
     if not good:
         span = f"{'over' if open_low else 'from'} {low:g} {'and under' if open_high else 'to'} {high:g}"
-        raise OutOfRange(f"{name} is {value:g}; it must be {span}")
+        raise OutOfRangeError(f"{name} is {value:g}; it must be {span}")
 
 
 def _stirling_error(n: float) -> float:
@@ -110,7 +110,7 @@
 
     circuits: real, 0 to 1e7 (between whole numbers by the incomplete gamma function, Jagerman, BSTJ 53,
     1974); erlangs: 0 to 1e7. Relative error under 1e-9 up to 1e6 circuits; below 1e-308 it is 0, see
-    `log_erlang_b`. Raises OutOfRange.
+    `log_erlang_b`. Raises OutOfRangeError.
     """
     return exp(log_erlang_b(circuits, erlangs))
 
@@ -126,7 +126,7 @@
 
 def erlang_b_slopes(circuits: float, erlangs: float) -> tuple[float, float]:
     """(dB/dA per erlang, dB/dN per circuit). The first is exact, B (N/A - 1 + B); the second by differences
-    of ln B with Richardson's step, relative error about 1e-7. Raises OutOfRange; erlangs > 0.
+    of ln B with Richardson's step, relative error about 1e-7. Raises OutOfRangeError; erlangs > 0.
     """
     need("erlangs", erlangs, 0, MOST, open_low=True)
     b = erlang_b(circuits, erlangs)
@@ -148,7 +148,7 @@
     high = low + step
     while f(high) > 0:
         if high >= most:
-            raise OutOfRange(f"{what} would have to be over {most:g}")
+            raise OutOfRangeError(f"{what} would have to be over {most:g}")
         low, high = high, min(most, 2 * high + step)
     return float(brentq(f, low, high, xtol=1e-12 * max(1.0, high), rtol=1e-14, maxiter=200))
 
@@ -156,7 +156,7 @@
 def circuits_for(erlangs: float, target: float) -> float:
     """Real circuits at which `erlang_b` is the target; `whole` rounds it up. 0 < target < 1.
 
-    Brent's method on ln B; relative error about 1e-11. Raises OutOfRange.
+    Brent's method on ln B; relative error about 1e-11. Raises OutOfRangeError.
     """
     need("target", target, 0, 1, True, True)
     need("erlangs", erlangs, 0, MOST)
@@ -172,7 +172,7 @@
 def erlangs_for(circuits: float, target: float) -> float:
     """Traffic in erlangs at which `erlang_b` of these circuits is the target. 0 < target < 1, circuits > 0.
 
-    Relative error about 1e-11. Raises OutOfRange.
+    Relative error about 1e-11. Raises OutOfRangeError.
     """
     need("target", target, 0, 1, True, True)
     need("circuits", circuits, 0, MOST, open_low=True)
@@ -180,13 +180,15 @@
     high = max(1.0, circuits)
     while log_erlang_b(circuits, high) < goal:
         if high >= MOST:
-            raise OutOfRange(f"erlangs would have to be over {MOST:g}")
+            raise OutOfRangeError(f"erlangs would have to be over {MOST:g}")
         high = min(2 * high, MOST)
     low = min(high, circuits) / 2
     while log_erlang_b(circuits, low) > goal:
         low /= 8
         if low < 1e-280:
-            raise OutOfRange(f"target is {target:g}: no traffic is small enough on {circuits:g} circuits")
+            raise OutOfRangeError(
+                f"target is {target:g}: no traffic is small enough on {circuits:g} circuits"
+            )
     return float(brentq(lambda a: log_erlang_b(circuits, a) - goal, low, high, xtol=1e-300, rtol=1e-14))
 
 
@@ -199,7 +201,7 @@
     """Share of Poisson calls that wait where none is lost (Erlang 1917, delay formula); 1 at or over
     capacity.
 
-    circuits real > 0; relative error as `erlang_b`. Raises OutOfRange.
+    circuits real > 0; relative error as `erlang_b`. Raises OutOfRangeError.
     """
     need("circuits", circuits, 0, MOST, open_low=True)
     b = erlang_b(circuits, erlangs)
@@ -213,7 +215,7 @@
     (Palm 1937; Garnett, Mandelbaum, Reiman 2002). `patience`: its mean in holding times; 0 gives Erlang B.
 
     This is what a softswitch makes of a group whose calls it may hold for a while. Whole circuits up to 1e5;
-    relative error about 1e-12. Raises OutOfRange.
+    relative error about 1e-12. Raises OutOfRangeError.
     """
     need("circuits", circuits, 1, 1e5)
     need("patience", patience, 0, 1e6)
@@ -231,7 +233,9 @@
         if term * (k + 1) < 1e-17 * max(waiting, lost) and erlangs < circuits + k / patience:
             break
     else:
-        raise OutOfRange(f"patience is {patience:g}: too long for {erlangs:g} erlangs on {circuits} circuits")
+        raise OutOfRangeError(
+            f"patience is {patience:g}: too long for {erlangs:g} erlangs on {circuits} circuits"
+        )
     total = 1 / b - 1 + waiting  # 1/b: all states up to the full group, beside the full one
     return waiting / total, lost / total / erlangs
 
@@ -241,7 +245,7 @@
     first circuit that falls free and is lost after that (Baccelli and Hebuterne 1981, M/M/N+D; Barrer 1957).
 
     What a softswitch makes of a group by holding calls for as long as they can still stand within their aim.
-    0 gives Erlang B. Circuits real, 1 or more; relative error about 1e-9. Raises OutOfRange.
+    0 gives Erlang B. Circuits real, 1 or more; relative error about 1e-9. Raises OutOfRangeError.
     """
     need("circuits", circuits, 1, MOST)
     need("held", held, 0, 1e6)
@@ -262,7 +266,8 @@
     """(time congestion, call congestion) of a group with finitely many sources (Engset 1918).
 
     each: erlangs offered by one idle source; whole circuits and sources, up to 1e6. The call congestion is
-    the time congestion that a source finds among the others. Relative error about 1e-12. Raises OutOfRange.
+    the time congestion that a source finds among the others. Relative error about 1e-12.
+    Raises OutOfRangeError.
     """
     need("circuits", circuits, 0, 1e6)
     need("sources", sources, 1, 1e7)
@@ -285,7 +290,7 @@
     (0 to 1, not 1): the extended Erlang B formula, A' = A + again A' B(N, A').
 
     It takes redials for fresh random calls, which holds while they wait several holding times and overstates
-    the blocking where they come at once. Fixed point to 1e-12 of A'. Raises OutOfRange.
+    the blocking where they come at once. Fixed point to 1e-12 of A'. Raises OutOfRangeError.
     """
     need("again", again, 0, 1, open_high=True)
     need("erlangs", erlangs, 0, MOST)
@@ -301,7 +306,7 @@
 
 def lost_after_redials(blocking: float, tries: int, again: float) -> float:
     """Share of calls never served when each blocked try is followed by another with chance `again`, at most
-    `tries` tries in all, each blocked alike and independently. Raises OutOfRange.
+    `tries` tries in all, each blocked alike and independently. Raises OutOfRangeError.
     """
     need("blocking", blocking, 0, 1)
     need("again", again, 0, 1)
@@ -317,7 +322,7 @@
 
 def surge_peak(erlangs: float, factor: float, lasted: float) -> float:
     """Erlangs at the end of a surge to `factor` times the traffic that lasted so many holding times: offered
-    load follows a jump exponentially (Palm 1943: mean of an infinite group). Raises OutOfRange.
+    load follows a jump exponentially (Palm 1943: mean of an infinite group). Raises OutOfRangeError.
     """
     need("erlangs", erlangs, 0, MOST)
     need("factor", factor, 0, 1e6)
--- a/softswitch/dimension/mutual.py
+++ b/softswitch/dimension/mutual.py
@@ -23,7 +23,7 @@
 def pair(circuits: tuple[int, int], erlangs: tuple[float, float], reserve: tuple[int, int] = (0, 0)) -> Pair:
     """Random calls of width 1 with one mean holding time; a call that finds its own group full takes a
     circuit of the other while more than `reserve` are free there. The chain's balance equations, solved
-    sparsely; relative error about 1e-9, up to a few hundred circuits each. Raises OutOfRange.
+    sparsely; relative error about 1e-9, up to a few hundred circuits each. Raises OutOfRangeError.
     """
     for n, a, r in zip(circuits, erlangs, reserve, strict=True):
         need("circuits", n, 1, 1000)
--- a/softswitch/dimension/network.py
+++ b/softswitch/dimension/network.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from softswitch.dimension import peaked_traffic, widths
-from softswitch.dimension.loss import OutOfRange, need
+from softswitch.dimension.loss import OutOfRangeError, need
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
 
 
 def check(groups: Sequence[Group], streams: Sequence[Stream]) -> None:
-    """OutOfRange with the name of what can't be: unknown or doubled names, routes of three stages,
+    """OutOfRangeError with the name of what can't be: unknown or doubled names, routes of three stages,
     figures.
     """
     by_name = {g.name: g for g in groups}
@@ -84,10 +84,10 @@
         or len(by_name) != len(groups)
         or len({s.name for s in streams}) != len(streams)
     ):
-        raise OutOfRange("groups and streams: at least one of each, and no name twice")
+        raise OutOfRangeError("groups and streams: at least one of each, and no name twice")
     for g in groups:
         if g.overflow and (g.overflow not in by_name or g.overflow == g.name or by_name[g.overflow].overflow):
-            raise OutOfRange(
+            raise OutOfRangeError(
                 f"group {g.name}: overflow is {g.overflow!r}; it must name another group that has "
                 "no overflow itself"
             )
@@ -98,7 +98,7 @@
         need(f"group {g.name}: circuits", g.circuits, 0, 1_000_000)
     for s in streams:
         if s.group not in by_name:
-            raise OutOfRange(f"stream {s.name}: group is {s.group!r}, and there is none of that name")
+            raise OutOfRangeError(f"stream {s.name}: group is {s.group!r}, and there is none of that name")
         need(f"stream {s.name}: erlangs", s.erlangs, 0, 1e6, open_low=True)
         need(f"stream {s.name}: target", s.target, 0, 1, True, True)
         need(f"stream {s.name}: peakedness", s.peakedness, 1, 100)
@@ -160,7 +160,8 @@
 ) -> Service:
     """End-to-end loss with these circuits by group name; traffic at one end of its estimate, times a factor.
 
-    Errors against simulation on drawn networks are in docs/design/trunk-dimensioning.md. Raises OutOfRange.
+    Errors against simulation on drawn networks are in docs/design/trunk-dimensioning.md.
+    Raises OutOfRangeError.
     """
     check(groups, streams)
     need("factor", factor, 0, 1e6)
--- a/softswitch/dimension/peaked_traffic.py
+++ b/softswitch/dimension/peaked_traffic.py
@@ -16,14 +16,14 @@
 from scipy.sparse.linalg import spsolve
 from scipy.special import roots_genlaguerre
 
-from softswitch.dimension.loss import MOST, OutOfRange, _falls_to, erlang_b, need
+from softswitch.dimension.loss import MOST, OutOfRangeError, _falls_to, erlang_b, need
 
 MOST_Z, LEAST_Z = 100.0, 0.01
 
 
 def overflow(circuits: float, erlangs: float) -> tuple[float, float]:
     """(mean, variance) in erlangs of what random traffic overflows from so many circuits (Riordan, in
-    Wilkinson, BSTJ 35, 1956, appendix). Circuits may be real; exact for whole ones. Raises OutOfRange.
+    Wilkinson, BSTJ 35, 1956, appendix). Circuits may be real; exact for whole ones. Raises OutOfRangeError.
     """
     mean = erlangs * erlang_b(circuits, erlangs)
     if erlangs == 0:
@@ -41,7 +41,7 @@
     """(erlangs, circuits) of the group whose overflow has these moments: Wilkinson's equivalent random
     method (BSTJ 35, 1956). Rapp's formula (1964) starts it; the moments are then met to 1e-10.
 
-    Peakedness 1 to 100; mean > 0. Raises OutOfRange.
+    Peakedness 1 to 100; mean > 0. Raises OutOfRangeError.
     """
     need("mean", mean, 0, MOST, open_low=True)
     z = variance / mean
@@ -77,7 +77,7 @@
     while too_much(high) > 0:
         high *= 1.5
         if high > MOST:
-            raise OutOfRange(f"peakedness is {z:g}: no group under {MOST:g} erlangs overflows so")
+            raise OutOfRangeError(f"peakedness is {z:g}: no group under {MOST:g} erlangs overflows so")
     if too_much(low) <= 0:
         return low, max(0.0, circuits_of(low))
     a = float(brentq(too_much, low, high, rtol=1e-13))
@@ -86,7 +86,7 @@
 
 def wilkinson(circuits: float, mean: float, variance: float) -> float:
     """Blocking of a peaky stream (Z >= 1) on so many circuits by the equivalent random method. Known to be
-    within a few per cent of exact call congestion for overflow of random traffic. Raises OutOfRange.
+    within a few per cent of exact call congestion for overflow of random traffic. Raises OutOfRangeError.
     """
     a, n = equivalent(mean, variance)
     return a * erlang_b(n + circuits, a) / mean
@@ -97,7 +97,7 @@
 
     Quicker than `wilkinson` and rougher: it may understate small means (0.013 for 0.037 at a mean of 1 and Z
     of 2 on 6 circuits); a quarter at most where the mean is ten times Z or more and blocking 0.5 to 20%.
-    Raises OutOfRange.
+    Raises OutOfRangeError.
     """
     need("peakedness", peakedness, LEAST_Z, MOST_Z)
     return erlang_b(circuits / peakedness, erlangs / peakedness)
@@ -108,7 +108,7 @@
     up, with a = A/Z and b = 1 - 1/Z per holding time (Delbrouck, IEEE Trans. COM-29, 1981).
 
     Exact for Z = 1 and for finite sources, A/(1 - Z) of them; where that is no whole number the rate is cut
-    at nought. Whole circuits up to 1e6; relative error about 1e-11. Raises OutOfRange.
+    at nought. Whole circuits up to 1e6; relative error about 1e-11. Raises OutOfRangeError.
     """
     need("circuits", circuits, 0, 1e6)
     need("erlangs", erlangs, 0, MOST, open_low=True)
@@ -129,7 +129,7 @@
 def blocking(circuits: float, erlangs: float, peakedness: float = 1.0) -> float:
     """Blocking by the formula that fits the peakedness: Erlang B at 1, the equivalent random method over it,
     and under it the traffic congestion of Bernoulli traffic (between whole circuits, interpolated in its
-    logarithm). Raises OutOfRange.
+    logarithm). Raises OutOfRangeError.
     """
     need("peakedness", peakedness, LEAST_Z, MOST_Z)
     if erlangs == 0 or peakedness == 1:
@@ -147,7 +147,7 @@
 
 
 def circuits_for(erlangs: float, target: float, peakedness: float = 1.0) -> float:
-    """Real circuits at which `blocking` is the target (0 < target < 1). Raises OutOfRange."""
+    """Real circuits at which `blocking` is the target (0 < target < 1). Raises OutOfRangeError."""
     need("target", target, 0, 1, True, True)
     need("erlangs", erlangs, 0, MOST)
     need("peakedness", peakedness, LEAST_Z, MOST_Z)
@@ -163,7 +163,7 @@
     mean and variance (Wilkinson, Bell Labs 1958; Hill and Neal, BSTJ 55, 1976).
 
     64 Gauss-Laguerre points; relative error under 1e-4 for a coefficient of variation up to 0.7 (checked
-    against adaptive quadrature). Raises OutOfRange.
+    against adaptive quadrature). Raises OutOfRangeError.
     """
     need("variance", variance, 0, MOST * MOST)
     need("mean", mean, 0, MOST, open_low=True)
@@ -190,7 +190,7 @@
     phases of these mean lengths in holding times: Kuczura's interrupted Poisson process (BSTJ 52, 1973).
 
     The model of a surge that comes and goes: on seldom and long against a holding time is peaky. `mean` is
-    the mean traffic in erlangs. Exact for exponential holding times. Raises OutOfRange.
+    the mean traffic in erlangs. Exact for exponential holding times. Raises OutOfRangeError.
     """
     need("mean", mean, 0, MOST, open_low=True)
     need("on", on, 0, 1e9, open_low=True)
@@ -207,7 +207,7 @@
 
     The chain of phase and busy circuits, solved exactly; relative error about 1e-9. Beside the equivalent
     random method, which knows two moments, this knows how long a surge lasts: the two may differ by half.
-    Raises OutOfRange over 20,000 circuits.
+    Raises OutOfRangeError over 20,000 circuits.
     """
     need("circuits", circuits, 0, 20_000)
     rate, _ = switched(erlangs, on, off)
--- a/softswitch/dimension/planner.py
+++ b/softswitch/dimension/planner.py
@@ -28,7 +28,7 @@
 from scipy.optimize import brentq
 
 from softswitch.dimension import loss, simulate
-from softswitch.dimension.loss import OutOfRange
+from softswitch.dimension.loss import OutOfRangeError
 from softswitch.dimension.network import (
     Group,
     Parcel,
@@ -44,7 +44,7 @@
 MOST_CHOICES = 4_000_000  # of direct groups' modules that are enumerated at most
 
 
-class Infeasible(Exception):
+class InfeasibleError(Exception):
     """No purchase meets the targets; the text names those that are missed with all that can be bought."""
 
 
@@ -162,9 +162,9 @@
         return float(brentq(over, 1e-12, high, rtol=1e-9)) * (1 + 1e-6)
 
     def solve(self) -> tuple[tuple[int, ...], int]:
-        """(cheapest choice that meets all targets, programmes solved). Infeasible if there is none."""
+        """(cheapest choice that meets all targets, programmes solved). InfeasibleError if there is none."""
         if not self.good(self.top()):
-            raise Infeasible("; ".join(self.missed()))
+            raise InfeasibleError("; ".join(self.missed()))
         if not self.direct:
             low, high = 0, self.final.most
             while low < high:
@@ -199,7 +199,7 @@
         for rounds in range(1, MOST_ROUNDS + 1):
             h.run()
             if h.getModelStatus() != highspy.HighsModelStatus.kOptimal:
-                raise Infeasible("; ".join(self.missed()) or "no choice is left")
+                raise InfeasibleError("; ".join(self.missed()) or "no choice is left")
             values = h.getSolution().col_value
             choice = tuple(int(np.argmax([values[var.index] for var in row])) for row in [*x, y])
             if self.good(choice):
@@ -213,7 +213,7 @@
         """The cheapest choice, by the lower bound's order; `floor` bounds the cost from below."""
         counts = [len(table) for table in self.over]
         if np.prod([float(c) for c in counts]) > MOST_CHOICES:
-            raise OutOfRange(
+            raise OutOfRangeError(
                 f"group {self.final.name}: its {len(counts)} overflowing groups have over "
                 f"{MOST_CHOICES} choices; offer fewer modules, or larger ones"
             )
@@ -242,7 +242,7 @@
     """(choice, why there is none, programmes, choices looked at, monotone) of one cluster."""
     try:
         choice, rounds = part.solve()
-    except Infeasible as e:
+    except InfeasibleError as e:
         return None, str(e), 0, len(part.known), True
     return choice, "", rounds, len(part.known), part.monotone()
 
@@ -255,8 +255,8 @@
 ) -> Plan:
     """The cheapest modules that meet every stream's target with its traffic at this end of its estimate.
 
-    each: `map`, or that of a pool of processes, as clusters don't touch one another. Raises OutOfRange for
-    what can't be, Infeasible where no purchase is enough.
+    each: `map`, or that of a pool of processes, as clusters don't touch one another. Raises
+    OutOfRangeError for what cannot be, InfeasibleError where no purchase is enough.
     """
     check(groups, streams)
     modules: dict[str, int] = {}
@@ -270,7 +270,7 @@
         modules |= {g.name: k for g, k in zip([*part.direct, part.final], choice, strict=True)}
         rounds, evaluated, monotone = rounds + took, evaluated + looked, monotone and rises
     if missed:
-        raise Infeasible("with all that can be bought, " + "; ".join(missed))
+        raise InfeasibleError("with all that can be bought, " + "; ".join(missed))
     by_name = {g.name: g for g in groups}
     circuits = {name: by_name[name].circuits + k * by_name[name].module for name, k in modules.items()}
     return Plan(
@@ -286,7 +286,7 @@
 
 def brute(groups: Sequence[Group], streams: Sequence[Stream], where: str = "middle") -> tuple[float, int]:
     """(least cost, choices tried) by trying everything: what `plan` is held against on small networks.
-    Raises Infeasible like `plan`.
+    Raises InfeasibleError like `plan`.
     """
     total, tried = 0.0, 0
     for direct, final in clusters(groups, streams):
@@ -297,7 +297,7 @@
             if part.cost(choice) < best and part.good(choice):
                 best = part.cost(choice)
         if best == float("inf"):
-            raise Infeasible(f"group {final.name}")
+            raise InfeasibleError(f"group {final.name}")
         total += best
     return total, tried
 
@@ -310,10 +310,10 @@
     factor: float = 1.0,
 ) -> dict[str, Service]:
     """Service at both ends and the middle of the estimates, with one group out of use and traffic times a
-    factor. Raises OutOfRange.
+    factor. Raises OutOfRangeError.
     """
     if lost_group and lost_group not in {g.name for g in groups}:
-        raise OutOfRange(f"group {lost_group!r} is not in the plan")
+        raise OutOfRangeError(f"group {lost_group!r} is not in the plan")
     left = {name: 0 if name == lost_group else n for name, n in circuits.items()}
     return {where: service(groups, streams, left, where, factor) for where in ("low", "middle", "high")}
 
@@ -353,7 +353,7 @@
     """(plan, what its streams lost in simulation): plans, plays the plan, and plans again with a stricter
     target for each stream that lost more than its own, until none does.
 
-    Raises OutOfRange, or Infeasible where no purchase is enough or `tries` plans did not settle it.
+    Raises OutOfRangeError, or InfeasibleError where no purchase is enough or `tries` plans did not settle it.
     """
     asked = list(streams)
     for n in range(tries):
@@ -363,4 +363,4 @@
         if not over:
             return found, seen
         asked = [replace(s, target=s.target / (1.05 * over[s.name])) if s.name in over else s for s in asked]
-    raise Infeasible(f"{tries} plans were played and each lost more than it may: {', '.join(over)}")
+    raise InfeasibleError(f"{tries} plans were played and each lost more than it may: {', '.join(over)}")
--- a/softswitch/dimension/report.py
+++ b/softswitch/dimension/report.py
@@ -7,7 +7,7 @@
 import numpy as np
 
 from softswitch.dimension import loss, peaked_traffic
-from softswitch.dimension.loss import OutOfRange
+from softswitch.dimension.loss import OutOfRangeError
 from softswitch.dimension.traffic import Estimate, Sample, estimate
 
 
@@ -23,7 +23,7 @@
 
 def circuits(found: Estimate, target: float) -> Need:
     """Circuits that the target needs at the low end, the middle and the high end. Peakedness goes by its
-    middle where the counts did not pass for random calls, and is 1 where they did. Raises OutOfRange.
+    middle where the counts did not pass for random calls, and is 1 where they did. Raises OutOfRangeError.
     """
     z = 1.0 if found.method == "random" else max(1.0, found.peakedness.value)
     at = [
@@ -35,7 +35,7 @@
 
 def steady(sample: Sample, level: float = 0.95, precision: float = 0.05) -> tuple[Estimate, Estimate]:
     """(estimate to go by, estimate of the whole). Where the traffic did not stand still, the first is that of
-    the busiest stretch and not of the average, which would be true of no time at all. Raises OutOfRange.
+    the busiest stretch and not of the average, which would be true of no time at all. Raises OutOfRangeError.
     """
     whole = estimate(sample, level, precision)
     if whole.steady:
@@ -53,7 +53,7 @@
     )
     try:
         return estimate(part, level, precision), whole
-    except OutOfRange:
+    except OutOfRangeError:
         return whole, whole
 
 
--- a/softswitch/dimension/simulate.py
+++ b/softswitch/dimension/simulate.py
@@ -14,7 +14,7 @@
 
 import numpy as np
 
-from softswitch.dimension.loss import OutOfRange, need
+from softswitch.dimension.loss import OutOfRangeError, need
 import itertools
 
 
@@ -123,7 +123,7 @@
     for d in demands:
         unknown = [name for name in d.route if name not in by_name]
         if unknown or not d.route:
-            raise OutOfRange(f"demand {d.name}: its route names {', '.join(unknown) or 'no group'}")
+            raise OutOfRangeError(f"demand {d.name}: its route names {', '.join(unknown) or 'no group'}")
         routes.append([by_name[name] for name in d.route])
     need("seconds", seconds, 0, 1e12, open_low=True)
     until = warm + seconds
--- a/softswitch/dimension/traffic.py
+++ b/softswitch/dimension/traffic.py
@@ -16,7 +16,7 @@
 from scipy.optimize import minimize_scalar
 from scipy.stats import chi2, f, t
 
-from softswitch.dimension.loss import OutOfRange, need
+from softswitch.dimension.loss import OutOfRangeError, need
 import itertools
 
 LEAST_ENDED = 5  # calls that must have ended before a holding time is told at all
@@ -45,13 +45,13 @@
         need("call_seconds", self.call_seconds, 0, 1e15)
         need("ended", self.ended, 0, 1e15)
         if len(self.first) == 0 or not np.all(np.isfinite(self.first)) or np.any(self.first < 0):
-            raise OutOfRange("first tries are counts by slot, at least one slot and none under 0")
+            raise OutOfRangeError("first tries are counts by slot, at least one slot and none under 0")
 
 
 def joined(samples: Sequence[Sample]) -> Sample:
     """Several softswitches' shares of one stream, slot by slot; the shortest decides how long."""
     if not samples or len({s.slot for s in samples}) != 1:
-        raise OutOfRange("slot: samples of one stream are at least one, all with the same slot")
+        raise OutOfRangeError("slot: samples of one stream are at least one, all with the same slot")
     n = min(len(s.first) for s in samples)
     return Sample(
         samples[0].slot,
@@ -116,10 +116,10 @@
     times under censoring (Epstein and Sobel, JASA 48, 1953). Its interval takes the counted squares for the
     spread.
 
-    Raises OutOfRange under `LEAST_ENDED` calls ended.
+    Raises OutOfRangeError under `LEAST_ENDED` calls ended.
     """
     if sample.ended < LEAST_ENDED:
-        raise OutOfRange(
+        raise OutOfRangeError(
             f"ended: only {sample.ended} calls have ended in {sample.seconds:g} s, and "
             f"{LEAST_ENDED} are needed for a holding time; measure longer"
         )
@@ -305,14 +305,14 @@
     Where the counts pass for random calls the interval is that of a ratio of two gamma laws, an F
     distribution (exact for random calls with exponential holding times, but for the censoring). Else it is a
     t interval on the logarithm by batch means, joined with the holding time's by Welch and Satterthwaite.
-    Raises OutOfRange where too few calls have ended to tell anything.
+    Raises OutOfRangeError where too few calls have ended to tell anything.
     """
     need("level", level, 0.5, 0.9999)
     need("precision", precision, 1e-4, 1)
     hold, cv2 = holding(sample, level)
     first = int(sample.first.sum())
     if first < LEAST_ENDED:
-        raise OutOfRange(
+        raise OutOfRangeError(
             f"first: only {first} first tries in {sample.seconds:g} s, and {LEAST_ENDED} are needed "
             "for a rate; measure longer"
         )
--- a/softswitch/dimension/widths.py
+++ b/softswitch/dimension/widths.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from softswitch.dimension.loss import OutOfRange, need
+from softswitch.dimension.loss import OutOfRangeError, need
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
         need("width", s.width, 1, 1e4)
         need("reserve", s.reserve, 0, 1e6)
     if not streams:
-        raise OutOfRange("no stream is given; at least one is needed")
+        raise OutOfRangeError("no stream is given; at least one is needed")
 
 
 def occupancy(circuits: int, streams: Sequence[Stream]) -> np.ndarray:
@@ -36,7 +36,7 @@
 
     Without reservation exact for any holding times (Kaufman, IEEE Trans. COM-29, 1981; Roberts 1981); with it
     Roberts' approximation (1983), which takes a stream for absent from the states that its reservation bars.
-    Rescaled as it goes, so that 1e6 circuits neither overflow nor underflow. Raises OutOfRange.
+    Rescaled as it goes, so that 1e6 circuits neither overflow nor underflow. Raises OutOfRangeError.
     """
     _checked(circuits, streams)
     q = np.zeros(circuits + 1)
@@ -56,14 +56,14 @@
 
 def blocking(circuits: int, streams: Sequence[Stream]) -> list[float]:
     """Share of each stream's calls that find too few circuits free (time congestion, which for random calls
-    is call congestion). See `occupancy` for source and error. Raises OutOfRange.
+    is call congestion). See `occupancy` for source and error. Raises OutOfRangeError.
     """
     q = occupancy(circuits, streams)
     return [float(q[max(0, circuits - s.width - s.reserve + 1) :].sum()) for s in streams]
 
 
 def circuits_for(streams: Sequence[Stream], targets: Sequence[float], most: int = 100_000) -> int:
-    """Fewest circuits at which each stream's blocking is at or under its target. Raises OutOfRange."""
+    """Fewest circuits at which each stream's blocking is at or under its target. Raises OutOfRangeError."""
     _checked(0, streams)
     for t in targets:
         need("target", t, 0, 1, True, True)
@@ -74,7 +74,7 @@
     high = max(1, int(sum(s.erlangs * s.width for s in streams)))
     while not good(high):
         if high >= most:
-            raise OutOfRange(f"circuits would have to be over {most}")
+            raise OutOfRangeError(f"circuits would have to be over {most}")
         high = min(most, 2 * high)
     low = 0
     while low < high:
@@ -92,7 +92,7 @@
     A birth-death chain after Hayward's scaling: the joint peakedness Z shrinks circuits, reserve and traffic
     alike, between whole circuits by interpolation in the loss. The ratio of the two streams' losses without
     reservation follows Katz (ITC 1967). An approximation: errors up to a fifth of the blocking were seen in
-    simulation (docs/design/trunk-dimensioning.md). Raises OutOfRange.
+    simulation (docs/design/trunk-dimensioning.md). Raises OutOfRangeError.
     """
     mean, variance = overflow
     need("first", first, 0, 1e7)
--- a/softswitch/measure/recordfile.py
+++ b/softswitch/measure/recordfile.py
@@ -24,7 +24,7 @@
 MOST_FRAME = 16 << 20
 
 
-class BadRecord(Exception):
+class RecordFileError(Exception):
     """A file that is no traffic record of this version; the text names the file and the remedy."""
 
 
@@ -51,15 +51,15 @@
 
 
 def read(path: str | Path) -> Contents:
-    """Reads up to the last whole frame. BadRecord on a file of another kind or version."""
+    """Reads up to the last whole frame. RecordFileError on a file of another kind or version."""
     try:
         data = Path(path).read_bytes()
     except OSError as e:
-        raise BadRecord(f"{path}: can't be read: {e.strerror}") from None
+        raise RecordFileError(f"{path}: can't be read: {e.strerror}") from None
     found = Contents(str(path))
     if len(data) < START.size:
         if not MAGIC.startswith(data[:4]):
-            raise BadRecord(
+            raise RecordFileError(
                 f"{path}: no traffic record; name a file that a softswitch wrote (`record` in the "
                 "operator file)"
             )
@@ -67,11 +67,11 @@
         return found
     magic, version = START.unpack_from(data)
     if magic != MAGIC:
-        raise BadRecord(
+        raise RecordFileError(
             f"{path}: no traffic record; name a file that a softswitch wrote (`record` in the operator file)"
         )
     if version != VERSION:
-        raise BadRecord(
+        raise RecordFileError(
             f"{path}: written by version {version} of the format, and this program reads {VERSION}; "
             "read it with the willowhitch that wrote it"
         )
--- a/softswitch/measure/recording.py
+++ b/softswitch/measure/recording.py
@@ -15,7 +15,7 @@
 from softswitch.core.counters import Count
 from softswitch.core.switch import Switch
 from softswitch.measure.record import TrafficRecord
-from softswitch.measure.recordfile import BadRecord, Writer, read
+from softswitch.measure.recordfile import RecordFileError, Writer, read
 
 MOST_WAITING = 8  # intervals that wait to be written; a disk slower than that loses the newest
 
@@ -102,7 +102,7 @@
                 try:
                     self.writer.write(self.waiting.popleft())
                     self.failing = False
-                except (OSError, BadRecord) as e:
+                except (OSError, RecordFileError) as e:
                     self.switch.counters[Count.RECORD_INTERVALS_LOST] += 1
                     if not self.failing:
                         logger.warning("traffic record: not written, the softswitch serves on: {}", e)
@@ -137,7 +137,7 @@
     try:
         if path.exists():
             read(path)  # another version's, or no record at all: told now, and left as it is
-    except BadRecord as e:
+    except RecordFileError as e:
         raise ValueError(str(e)) from None
     path.parent.mkdir(parents=True, exist_ok=True)
     head = {
--- a/softswitch/measure/streams.py
+++ b/softswitch/measure/streams.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from softswitch.measure.recordfile import BadRecord, Contents
+from softswitch.measure.recordfile import Contents, RecordFileError
 
 BLOCKED = ("blocked", "refused_before", "refused_other", "processor_full", "failed", "given_up")
 
@@ -44,13 +44,17 @@
 
 
 def intervals(contents: Sequence[Contents]) -> tuple[float, float, dict[float, list[dict[str, Any]]]]:
-    """(interval, slot, entries by begin), of all files; BadRecord where they can't be laid side by side."""
+    """(interval, slot, entries by begin), of all files. RecordFileError where their lengths
+    differ.
+    """
     heads = [h for c in contents for h in c.heads]
     if not heads or not any(c.entries for c in contents):
-        raise BadRecord(f"{contents[0].path}: no whole interval was read; let the softswitch write one first")
+        raise RecordFileError(
+            f"{contents[0].path}: no whole interval was read; let the softswitch write one first"
+        )
     kinds = {(h["interval_ms"], h["slot_ms"]) for h in heads}
     if len(kinds) > 1:
-        raise BadRecord(
+        raise RecordFileError(
             f"{contents[0].path}: intervals or slots of several lengths, {sorted(kinds)} ms; "
             "estimate files of one setting at a time"
         )
@@ -66,7 +70,7 @@
     """Streams of one or more softswitches' records together, slot by slot on their common clock.
 
     Slots that no file covers in whole are left out, first and last ones as a rule; intervals that are missing
-    between are left out too, and told. Raises BadRecord.
+    between are left out too, and told. Raises RecordFileError.
     """
     interval, slot, by_begin = intervals(contents)
     slots, notes = round(interval / slot), [f"{c.path}: {c.cut}" for c in contents if c.cut]
--- a/softswitch/operator/load.py
+++ b/softswitch/operator/load.py
@@ -18,24 +18,24 @@
 PATH = re.compile(r" - at `\$(?:\.([\w.]+))?`")
 
 
-class BadOperatorFile(Exception):
+class OperatorFileError(Exception):
     """An operator file that cannot be used; the text names file, line and remedy."""
 
 
 def load(path: str | Path) -> Operator:
-    """The tables of the file; BadOperatorFile with one plain line if it can't be read or breaks a limit."""
+    """The tables of the file; OperatorFileError with one plain line if it can't be read or breaks a limit."""
     path = Path(path)
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as e:
-        raise BadOperatorFile(f"{path}: can't be read: {e}") from None
-    return of_text(text, str(path))
+        raise OperatorFileError(f"{path}: can't be read: {e}") from None
+    return parse_text(text, str(path))
 
 
-def of_text(text: str, name: str) -> Operator:
-    """Evaluates the operator file's text. BadOperatorFile names the place and the remedy."""
+def parse_text(text: str, name: str) -> Operator:
+    """Evaluates the operator file's text. OperatorFileError names the place and the remedy."""
     if len(text) > MOST_BYTES:
-        raise BadOperatorFile(f"{name}: {len(text)} bytes; at most {MOST_BYTES} are read, so keep data out")
+        raise OperatorFileError(f"{name}: {len(text)} bytes; at most {MOST_BYTES} are read, so keep data out")
     module, until = starlark.Module(), monotonic() + MOST_SECONDS
     options = starlark.EvalOptions(check_cancelled=lambda: monotonic() > until, max_callstack_size=MOST_DEPTH)
     try:
@@ -48,7 +48,7 @@
         first = told[1] if told else said.strip().splitlines()[0]
         if monotonic() > until:
             first = f"it took over {MOST_SECONDS:g} s: an operator file sets tables, and computes little"
-        raise BadOperatorFile(f"{name}:{where[1] if where else 1}: {first}") from None
+        raise OperatorFileError(f"{name}:{where[1] if where else 1}: {first}") from None
     known = {f.name for f in msgspec.structs.fields(Operator)}
     tables = {}
     for found in NAME.finditer(text):
@@ -56,7 +56,7 @@
         if text[found.end() - 1] != "=" or word in ("def", "for", "if", "load"):
             continue
         if word not in known:
-            raise BadOperatorFile(
+            raise OperatorFileError(
                 f"{name}:{line}: `{word}` is no table; there are "
                 f"{', '.join(sorted(known))}, and names of the file's own begin with `_`"
             )
@@ -68,7 +68,7 @@
         at = PATH.search(said)
         words = (at[1] or "").split(".") if at else []
         key = f"`{'.'.join(words)}`: " if words and words[0] else ""
-        raise BadOperatorFile(f"{name}:{_line_of(text, words)}: {key}{PATH.sub('', said)}") from None
+        raise OperatorFileError(f"{name}:{_line_of(text, words)}: {key}{PATH.sub('', said)}") from None
 
 
 def _line_of(text: str, words: list[str]) -> int:
--- a/tests/test_budget_processes.py
+++ b/tests/test_budget_processes.py
@@ -13,7 +13,7 @@
 from support.harness import ROOT, written
 from test_fleet_processes import Process, own, until
 
-from softswitch.operator.load import BadOperatorFile, of_text
+from softswitch.operator.load import OperatorFileError, parse_text
 
 FLEET = 'fleet = {"name": "f", "address": "10.0.0.1:7946", "seeds": ["10.0.0.2:7946"]}\n'
 ALLOCATION = 'allocation = {"members": ["10.0.0.1:7946", "10.0.0.2:7946"], "voters": ["10.0.0.1:7946"]}\n'
@@ -103,8 +103,8 @@
     ],
 )
 def test_a_file_that_can_not_be_kept_is_refused_with_the_reason(text, said):
-    with pytest.raises(BadOperatorFile, match="f.star") as refused:
-        of_text(text, "f.star")
+    with pytest.raises(OperatorFileError, match="f.star") as refused:
+        parse_text(text, "f.star")
     assert said in str(refused.value)
 
 
--- a/tests/test_dimension.py
+++ b/tests/test_dimension.py
@@ -9,7 +9,7 @@
 from mpmath import gammainc, mp, mpf, quad
 
 from softswitch.dimension import loss, peaked_traffic, widths
-from softswitch.dimension.loss import OutOfRange
+from softswitch.dimension.loss import OutOfRangeError
 
 
 def exact_log_b(circuits, erlangs):
@@ -253,5 +253,5 @@
     ],
 )
 def test_bad_arguments_are_named(call, name):
-    with pytest.raises(OutOfRange, match=name):
+    with pytest.raises(OutOfRangeError, match=name):
         call()
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -21,7 +21,7 @@
     traffic,
     widths,
 )
-from softswitch.dimension.loss import OutOfRange
+from softswitch.dimension.loss import OutOfRangeError
 from softswitch.dimension.network import Group, Stream
 
 
@@ -139,7 +139,7 @@
     # and after that much longer the precision is there, within a fifth
     longer = traffic.estimate(sample(10.0, 5.0 + best.more_seconds, 2))
     assert longer.erlangs.half_width < 0.06
-    with pytest.raises(OutOfRange, match="measure longer"):
+    with pytest.raises(OutOfRangeError, match="measure longer"):
         traffic.estimate(traffic.Sample(1.0, np.array([1.0, 0.0]), 1.0, 1, 1.0))
 
 
@@ -167,9 +167,9 @@
         groups, streams = drawn(seed, 1 + seed % 3, 4 + 2 * (seed % 2), reserve=seed % 4 == 3)
         try:
             best = planner.brute(groups, streams)[0]
-        except planner.Infeasible:
+        except planner.InfeasibleError:
             none += 1
-            with pytest.raises(planner.Infeasible, match="loses .* and may lose"):
+            with pytest.raises(planner.InfeasibleError, match="loses .* and may lose"):
                 planner.plan(groups, streams)
             continue
         found = planner.plan(groups, streams)
@@ -219,7 +219,7 @@
     assert gone.lost["sf"] == pytest.approx(1.0)
     assert gone.missed(streams)
     assert planner.what_if(groups, streams, found.circuits, "", 2.0)["middle"].missed(streams)
-    with pytest.raises(OutOfRange, match="nowhere"):
+    with pytest.raises(OutOfRangeError, match="nowhere"):
         planner.what_if(groups, streams, found.circuits, "nowhere")
 
 
@@ -359,5 +359,5 @@
         ([Group("a")], [Stream("s", "a", 1, 1.0)], "target"),
         ([Group("a")], [Stream("s", "a", inf, 0.1)], "erlangs"),
     ):
-        with pytest.raises(OutOfRange, match=said):
+        with pytest.raises(OutOfRangeError, match=said):
             network.check(groups, streams)
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -18,9 +18,9 @@
 from softswitch import cli
 from softswitch.core.timer_wheel import TimerWheel
 from softswitch.measure.record import MOST_ROUTES, OTHER, TrafficRecord
-from softswitch.measure.recordfile import FRAME, BadRecord, Writer, encoded, read
+from softswitch.measure.recordfile import FRAME, RecordFileError, Writer, encoded, read
 from softswitch.measure.recording import MOST_WAITING, Recording
-from softswitch.operator.load import BadOperatorFile, of_text
+from softswitch.operator.load import OperatorFileError, parse_text
 
 
 def record(interval=1000.0, slot=100.0):
@@ -116,10 +116,10 @@
     path = tmp_path / "a.whtr"
     for data, said in ((b"hello, world", "no traffic record"), (b"WHTR\x00\x09", "version 9")):
         path.write_bytes(data)
-        with pytest.raises(BadRecord, match=said):
+        with pytest.raises(RecordFileError, match=said):
             read(path)
     path.unlink()
-    with pytest.raises(BadRecord, match="No such file"):
+    with pytest.raises(RecordFileError, match="No such file"):
         read(path)
     writer = Writer(path, {"name": "n0"}, 2_000)
     for n in range(40):
@@ -128,7 +128,7 @@
     old = tmp_path / "a.whtr.1"
     assert max(path.stat().st_size, old.stat().st_size) <= 2_000
     assert [e["n"] for e in read(old).entries + read(path).entries][-1] == 39
-    with pytest.raises(BadRecord):
+    with pytest.raises(RecordFileError):
         path.write_bytes(b"something else")
         Writer(path, {}, 2_000).write({})
     assert path.read_bytes() == b"something else"  # left as it was
@@ -158,8 +158,8 @@
     ],
 )
 def test_a_bad_operator_file_is_one_line_with_its_place(text, said):
-    with pytest.raises(BadOperatorFile) as e:
-        of_text(text, "f.star")
+    with pytest.raises(OperatorFileError) as e:
+        parse_text(text, "f.star")
     assert said in str(e.value)
     assert "\n" not in str(e.value)
 
@@ -171,8 +171,8 @@
     uncommented = "\n".join(
         line.removeprefix("# ") if i > 2 else line for i, line in enumerate(path.read_text().splitlines())
     )
-    assert of_text(uncommented, "x").record.file == "traffic.whtr"
-    assert of_text(uncommented, "x").logs.form == "json"
+    assert parse_text(uncommented, "x").record.file == "traffic.whtr"
+    assert parse_text(uncommented, "x").logs.form == "json"
 
 
 CALL = """
