--- a/benchmarks/coverage.py
+++ b/benchmarks/coverage.py
@@ -42,7 +42,11 @@
     except traffic.OutOfRangeError:
         return name, None
     boot = found.bootstrap
-    z = peaked_traffic.switched(erlangs, more["on"], more["off"])[1] if more.get("on", inf) < inf else 1.0
+    z = (
+        peaked_traffic.interrupted_poisson(erlangs, more["on"], more["off"])[1]
+        if more.get("on", inf) < inf
+        else 1.0
+    )
     return name, (
         found.erlangs.low <= erlangs <= found.erlangs.high,
         found.erlangs.half_width,
--- a/benchmarks/erlang.py
+++ b/benchmarks/erlang.py
@@ -25,7 +25,7 @@
     print(f"{'erlangs':>9} {'circuits':>9} {'inverse us':>11} {'recursion us':>13} {'ratio':>8}")
     for power in range(2, 7):
         a = float(10**power)
-        fast, t_fast = timed(lambda a=a: loss.whole(loss.circuits_for(a, 0.01)))
+        fast, t_fast = timed(lambda a=a: loss.round_up(loss.circuits_for(a, 0.01)))
         slow, t_slow = timed(by_recursion, a, 0.01)
         assert fast == slow, (a, fast, slow)
         print(f"{a:9.0f} {fast:9d} {1e6 * t_fast:11.0f} {1e6 * t_slow:13.0f} {t_slow / t_fast:8.1f}")
--- a/benchmarks/replay_sockets.py
+++ b/benchmarks/replay_sockets.py
@@ -89,22 +89,22 @@
     lost = sum(s.lost_tries for s in streams)
     # how long calls without a circuit were held
     held = sum(s.lost_seconds for s in streams) / max(1, lost) / HOLD
-    waits = loss.erlang_held(sum(circuits), total, held) / loss.erlang_b(sum(circuits), total)
+    waits = loss.loss_with_fixed_wait(sum(circuits), total, held) / loss.erlang_b(sum(circuits), total)
     plain = loss.erlang_b(sum(circuits), total)
     more, need = {}, None
     if name == "peaky":
         best = found[0, "x"][0]
         z, phases = best.peakedness.value, traffic.phases(samples[0, "x"], best.hold.value)
-        predicted = peaked_traffic.switched_blocking(circuits[0], total, *phases)[0]
+        predicted = peaked_traffic.interrupted_poisson_blocking(circuits[0], total, *phases)[0]
         need = (
-            loss.whole(loss.circuits_for(total, 0.01)),
-            loss.whole(peaked_traffic.circuits_for(total, 0.01, z)),
+            loss.round_up(loss.circuits_for(total, 0.01)),
+            loss.round_up(peaked_traffic.circuits_for(total, 0.01, z)),
         )
         more = {
             "two moments": round(peaked_traffic.blocking(circuits[0], total, z), 4),
             "phases": phases,
             "z": z,
-            "z true": peaked_traffic.switched(16, 2, 2)[1],
+            "z true": peaked_traffic.interrupted_poisson(16, 2, 2)[1],
         }
     elif name == "surge":
         parts, hold = found[0, "x"][1].segments, found[0, "x"][1].hold.value
@@ -113,7 +113,7 @@
             c * loss.erlang_b(circuits[0], p.rate * hold) for c, p in zip(calls, parts, strict=True)
         ) / sum(calls)
         peak = max(p.rate for p in parts) * hold
-        need = (loss.whole(loss.circuits_for(total, 0.01)), loss.whole(loss.circuits_for(peak, 0.01)))
+        need = (loss.round_up(loss.circuits_for(total, 0.01)), loss.round_up(loss.circuits_for(peak, 0.01)))
         more = {"segments": [round(p.rate * hold, 2) for p in parts]}
     elif name == "two widths":
         shares = widths.blocking(
--- a/softswitch/cli/trunks.py
+++ b/softswitch/cli/trunks.py
@@ -105,8 +105,8 @@
     """The circuits that a stated blocking needs."""
     try:
         exact = peaked_traffic.circuits_for(erlangs, target, peakedness)
-        plain = loss.whole(loss.circuits_for(erlangs, target))
-        needed = loss.whole(exact)
+        plain = loss.round_up(loss.circuits_for(erlangs, target))
+        needed = loss.round_up(exact)
         share = peaked_traffic.blocking(needed, erlangs, peakedness)
     except OutOfRangeError as e:
         bad(e)
--- a/softswitch/dimension/loss.py
+++ b/softswitch/dimension/loss.py
@@ -154,7 +154,7 @@
 
 
 def circuits_for(erlangs: float, target: float) -> float:
-    """Real circuits at which `erlang_b` is the target; `whole` rounds it up. 0 < target < 1.
+    """Real circuits at which `erlang_b` is the target; `round_up` rounds it up. 0 < target < 1.
 
     Brent's method on ln B; relative error about 1e-11. Raises OutOfRangeError.
     """
@@ -192,7 +192,7 @@
     return float(brentq(lambda a: log_erlang_b(circuits, a) - goal, low, high, xtol=1e-300, rtol=1e-14))
 
 
-def whole(circuits: float) -> int:
+def round_up(circuits: float) -> int:
     """Circuits rounded up, where a hair over a whole number (1 in 1e9) counts as that number."""
     return int(-(-(circuits - 1e-9 * max(1.0, circuits)) // 1)) if circuits > 0 else 0
 
@@ -240,7 +240,7 @@
     return waiting / total, lost / total / erlangs
 
 
-def erlang_held(circuits: float, erlangs: float, held: float) -> float:
+def loss_with_fixed_wait(circuits: float, erlangs: float, held: float) -> float:
     """Share lost where a call that finds no circuit is held for a fixed time, `held` holding times, takes the
     first circuit that falls free and is lost after that (Baccelli and Hebuterne 1981, M/M/N+D; Barrer 1957).
 
--- a/softswitch/dimension/network.py
+++ b/softswitch/dimension/network.py
@@ -118,7 +118,7 @@
         return [(name, 0.0, 0.0) for name, _, _ in parcels], 0.0, 0.0
     if circuits <= 0:
         return list(parcels), 1.0, mean
-    a, n = peaked_traffic.equivalent(mean, max(mean, variance))
+    a, n = peaked_traffic.equivalent_random(mean, max(mean, variance))
     over, over_variance = peaked_traffic.overflow(n + circuits, a)
     lost = [min(m, over * (SPLIT * v / variance + (1 - SPLIT) * m / mean)) for _, m, v in parcels]
     total = sum(lost)
--- a/softswitch/dimension/peaked_traffic.py
+++ b/softswitch/dimension/peaked_traffic.py
@@ -37,7 +37,7 @@
 
 
 @lru_cache(maxsize=4096)
-def equivalent(mean: float, variance: float) -> tuple[float, float]:
+def equivalent_random(mean: float, variance: float) -> tuple[float, float]:
     """(erlangs, circuits) of the group whose overflow has these moments: Wilkinson's equivalent random
     method (BSTJ 35, 1956). Rapp's formula (1964) starts it; the moments are then met to 1e-10.
 
@@ -88,7 +88,7 @@
     """Blocking of a peaky stream (Z >= 1) on so many circuits by the equivalent random method. Known to be
     within a few per cent of exact call congestion for overflow of random traffic. Raises OutOfRangeError.
     """
-    a, n = equivalent(mean, variance)
+    a, n = equivalent_random(mean, variance)
     return a * erlang_b(n + circuits, a) / mean
 
 
@@ -185,7 +185,7 @@
     return lost / mean
 
 
-def switched(mean: float, on: float, off: float) -> tuple[float, float]:
+def interrupted_poisson(mean: float, on: float, off: float) -> tuple[float, float]:
     """(erlangs while on, peakedness) of random calls that come only while a switch is on, with exponential
     phases of these mean lengths in holding times: Kuczura's interrupted Poisson process (BSTJ 52, 1973).
 
@@ -202,7 +202,7 @@
     return rate, 1 + rate * ends / ((ends + begins) * (1 + ends + begins))
 
 
-def switched_blocking(circuits: int, erlangs: float, on: float, off: float) -> tuple[float, float]:
+def interrupted_poisson_blocking(circuits: int, erlangs: float, on: float, off: float) -> tuple[float, float]:
     """(call, time congestion) of a switched stream of this mean on whole circuits; phases in holding times.
 
     The chain of phase and busy circuits, solved exactly; relative error about 1e-9. Beside the equivalent
@@ -210,7 +210,7 @@
     Raises OutOfRangeError over 20,000 circuits.
     """
     need("circuits", circuits, 0, 20_000)
-    rate, _ = switched(erlangs, on, off)
+    rate, _ = interrupted_poisson(erlangs, on, off)
     if off == 0:
         b = erlang_b(circuits, erlangs)
         return b, b
--- a/softswitch/dimension/planner.py
+++ b/softswitch/dimension/planner.py
@@ -328,7 +328,8 @@
     length: float = 3_000.0,
 ) -> dict[str, tuple[float, float]]:
     """(share lost, its standard error) of each stream by the event simulation, `runs` runs of so many holding
-    times. A peaky stream comes in equal phases on and off that give its peakedness (`peaky.switched`).
+    times. A peaky stream comes in equal phases on and off that give its peakedness
+    (`peaked_traffic.interrupted_poisson`).
     """
     finals = {g.name: g.overflow for g in groups}
     demands = []
--- a/softswitch/dimension/report.py
+++ b/softswitch/dimension/report.py
@@ -27,10 +27,10 @@
     """
     z = 1.0 if found.method == "random" else max(1.0, found.peakedness.value)
     at = [
-        loss.whole(peaked_traffic.circuits_for(x, target, z))
+        loss.round_up(peaked_traffic.circuits_for(x, target, z))
         for x in (found.erlangs.low, found.erlangs.value, found.erlangs.high)
     ]
-    return Need(at[0], at[1], at[2], loss.whole(loss.circuits_for(found.erlangs.value, target)))
+    return Need(at[0], at[1], at[2], loss.round_up(loss.circuits_for(found.erlangs.value, target)))
 
 
 def steady(sample: Sample, level: float = 0.95, precision: float = 0.05) -> tuple[Estimate, Estimate]:
--- a/tests/test_dimension.py
+++ b/tests/test_dimension.py
@@ -92,7 +92,7 @@
     if n > 0:
         assert log(loss.erlang_b(n, a) / target) == pytest.approx(0, abs=1e-8)
         assert loss.erlangs_for(n, target) == pytest.approx(a, rel=1e-8)
-    needed = loss.whole(n)
+    needed = loss.round_up(n)
     assert loss.erlang_b(needed, a) <= target * (1 + 1e-6)
     assert needed == 0 or loss.erlang_b(needed - 1, a) > target * (1 - 1e-6)
 
@@ -181,20 +181,20 @@
         before = float(quad(lambda x, n=circuits, a=erlangs: mp.exp((a - n) * x), [0, hold]))
         after = exp((erlangs - circuits) * hold) / circuits
         lost = erlangs * after / (none + erlangs * (before + after))
-        assert loss.erlang_held(circuits, erlangs, hold) == pytest.approx(lost)
+        assert loss.loss_with_fixed_wait(circuits, erlangs, hold) == pytest.approx(lost)
         assert lost < b
     assert (
-        loss.erlang_held(10, 8, 0)
+        loss.loss_with_fixed_wait(10, 8, 0)
         == pytest.approx(loss.erlang_b(10, 8))
-        == pytest.approx(loss.erlang_held(10, 8, 1e-9))
+        == pytest.approx(loss.loss_with_fixed_wait(10, 8, 1e-9))
     )
-    assert loss.erlang_held(10, 30, 1e4) == pytest.approx(1 - 10 / 30)
+    assert loss.loss_with_fixed_wait(10, 30, 1e4) == pytest.approx(1 - 10 / 30)
     assert loss.erlang_a(10, 8, 0.7)[1] == pytest.approx(float(want), rel=1e-10)
 
 
 def test_equivalent_random_method_meets_its_moments():
     for mean, z in ((1.0, 2.0), (10.0, 1.5), (10.0, 5.0), (500.0, 3.0), (0.05, 1.2), (2000.0, 20.0)):
-        a, n = peaked_traffic.equivalent(mean, mean * z)
+        a, n = peaked_traffic.equivalent_random(mean, mean * z)
         got = peaked_traffic.overflow(n, a)
         assert got[0] == pytest.approx(mean, rel=1e-8)
         assert got[1] == pytest.approx(mean * z, rel=1e-6)
@@ -229,10 +229,10 @@
     assert loss.lost_after_redials(0.5, 2, 0.5) == pytest.approx(0.5 * 0.5 + 0.5 * 0.5 * 0.5)
     assert loss.surge_peak(10, 2, 1e9) == 20
     assert loss.surge_peak(10, 2, 1) == pytest.approx(20 - 10 * exp(-1))
-    rate, z = peaked_traffic.switched(10, 2, 5)
+    rate, z = peaked_traffic.interrupted_poisson(10, 2, 5)
     assert rate == pytest.approx(35)
     assert z > 5
-    assert peaked_traffic.switched(10, 1e-6, 1e-6)[1] == pytest.approx(1, abs=1e-4)
+    assert peaked_traffic.interrupted_poisson(10, 1e-6, 1e-6)[1] == pytest.approx(1, abs=1e-4)
 
 
 @pytest.mark.parametrize(
@@ -244,7 +244,7 @@
         (lambda: loss.circuits_for(3, 1), "target"),
         (lambda: loss.erlangs_for(0, 0.1), "circuits"),
         (lambda: peaked_traffic.hayward(3, 3, 0), "peakedness"),
-        (lambda: peaked_traffic.equivalent(1, 0.5), "peakedness"),
+        (lambda: peaked_traffic.equivalent_random(1, 0.5), "peakedness"),
         (lambda: widths.blocking(5, []), "stream"),
         (lambda: loss.erlang_b_redials(3, 3, 1.0), "again"),
         (lambda: peaked_traffic.bpp(3, 0, 1), "erlangs"),
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -78,8 +78,10 @@
     peaks = simulate.play(
         [simulate.Group("g", 16)], [simulate.Demand("x", 8, ("g",), on=2, off=2)], 40_000, 5
     )
-    x, z = peaks.demands["x"], peaked_traffic.switched(8, 2, 2)[1]
-    assert x.lost / x.calls == pytest.approx(peaked_traffic.switched_blocking(16, 8, 2, 2)[0], rel=0.05)
+    x, z = peaks.demands["x"], peaked_traffic.interrupted_poisson(8, 2, 2)[1]
+    assert x.lost / x.calls == pytest.approx(
+        peaked_traffic.interrupted_poisson_blocking(16, 8, 2, 2)[0], rel=0.05
+    )
     # two moments are rougher
     assert x.lost / x.calls == pytest.approx(peaked_traffic.wilkinson(16, 8, 8 * z), rel=0.65)
     assert x.lost / x.calls > 5 * loss.erlang_b(16, 8)  # plain Erlang B would understate it so far
@@ -112,7 +114,7 @@
 
 
 def test_peakedness_is_seen_and_a_surge_is_not_averaged_away():
-    z = peaked_traffic.switched(10, 2.0, 4.0)[1]
+    z = peaked_traffic.interrupted_poisson(10, 2.0, 4.0)[1]
     found = traffic.estimate(sample(10.0, 3_000.0, 5, on=2.0, off=4.0))
     assert found.method == "batches"
     assert found.steady
