--- a/benchmarks/coverage.py
+++ b/benchmarks/coverage.py
@@ -27,7 +27,7 @@
 def one(case):
     name, seed = case
     erlangs, seconds, more, circuits = CASES[name]
-    seen = simulate.play(
+    seen = simulate.run(
         [simulate.Group("g", circuits)],
         [simulate.Demand("x", erlangs, ("g",), **more)],
         seconds,
@@ -37,7 +37,9 @@
     ).records["x"]
     try:
         found = traffic.estimate(
-            traffic.Sample(seen.slot, seen.first, seen.erlang_time, seen.ended, seen.held2)
+            traffic.Sample(
+                seen.slot, seen.first_attempts, seen.erlang_time, seen.ended, seen.sum_squared_hold
+            )
         )
     except traffic.OutOfRangeError:
         return name, None
--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -65,7 +65,7 @@
     ]
     shares = {s.name: [] for s in streams}
     for run in range(10):
-        out = simulate.play(
+        out = simulate.run(
             [simulate.Group(g.name, found.circuits[g.name]) for g in groups],
             demands,
             2000.0,
--- a/benchmarks/replay_sockets.py
+++ b/benchmarks/replay_sockets.py
@@ -62,7 +62,7 @@
     """One day in this process: what was predicted and what was seen, as a dict."""
     from softswitch.cli.trunks import sample_of
     from softswitch.dimension import loss, mutual, peaked_traffic, report, traffic, widths
-    from softswitch.dimension.traffic import joined
+    from softswitch.dimension.traffic import merge_samples
     from softswitch.measure.recordfile import read
     from softswitch.measure.streams import measured
     from softswitch.standin.fleet import Day, Fleet
@@ -79,7 +79,7 @@
     result = Fleet(day).play()
     streams = measured([read(p) for p in result.records]).streams
     samples = {(s.dest, s.klass): sample_of(s) for s in streams}
-    found = {k: report.steady(s) for k, s in samples.items()}
+    found = {k: report.estimate_busiest(s) for k, s in samples.items()}
     circuits = [e.circuits for e in day.engines]
     erlangs = {k: whole.erlangs.value for k, (_, whole) in found.items()}
     tallies = result.tallies
@@ -108,7 +108,7 @@
         }
     elif name == "surge":
         parts, hold = found[0, "x"][1].segments, found[0, "x"][1].hold.value
-        calls = [p.rate * (p.to - p.since) for p in parts]
+        calls = [p.rate * (p.end - p.start) for p in parts]
         predicted = sum(
             c * loss.erlang_b(circuits[0], p.rate * hold) for c, p in zip(calls, parts, strict=True)
         ) / sum(calls)
@@ -119,7 +119,7 @@
         shares = widths.blocking(
             circuits[0], [widths.Stream(erlangs[0, "x"]), widths.Stream(erlangs[0, "wide"], 3)]
         )
-        rates = [float(samples[0, k].first.sum()) for k in ("x", "wide")]
+        rates = [float(samples[0, k].first_attempts.sum()) for k in ("x", "wide")]
         predicted = sum(r * b for r, b in zip(rates, shares, strict=True)) / sum(rates)
         by_class = {k: (t.codes[503] + t.codes[500]) / t.tries for (k, _), t in tallies.items()}
         more = {
@@ -149,10 +149,10 @@
         predicted = plain
     loss_only = predicted
     predicted *= waits  # exact for random calls; for the others, as far as for random calls of that load
-    first = joined(list(samples.values()))
+    first = merge_samples(list(samples.values()))
     return {
         "day": name,
-        "calls": int(first.first.sum()),
+        "calls": int(first.first_attempts.sum()),
         "erlangs": round(total, 2),
         "observed": round(observed, 4),
         "noise": round(1.96 * sqrt(observed * (1 - observed) / tries), 4),
--- a/softswitch/cli/plots.py
+++ b/softswitch/cli/plots.py
@@ -16,9 +16,11 @@
     figure = Figure(figsize=(9, 6), layout="constrained")
     above, below = figure.subplots(2, 1)
     for stream in found.streams:
-        width = max(1, len(stream.first) // 120)
-        n = len(stream.first) // width
-        rates = [sum(stream.first[k * width : (k + 1) * width]) / width / found.slot for k in range(n)]
+        width = max(1, len(stream.first_attempts) // 120)
+        n = len(stream.first_attempts) // width
+        rates = [
+            sum(stream.first_attempts[k * width : (k + 1) * width]) / width / found.slot for k in range(n)
+        ]
         above.step(
             [k * width * found.slot for k in range(n)],
             rates,
--- a/softswitch/cli/trunks.py
+++ b/softswitch/cli/trunks.py
@@ -135,10 +135,10 @@
 
     return Sample(
         stream.slot,
-        np.array(stream.first, float),
+        np.array(stream.first_attempts, float),
         stream.call_seconds,
         stream.ended,
-        stream.held2,
+        stream.sum_squared_hold,
         stream.redials,
         stream.blocked,
     )
@@ -172,13 +172,13 @@
     for stream in found.streams:
         name = f"{cell(stream.dest)}/{stream.klass}"
         try:
-            best, whole = report.steady(sample_of(stream), level, precision)
-            need = report.circuits(best, target)
+            best, whole = report.estimate_busiest(sample_of(stream), level, precision)
+            need = report.required_circuits(best, target)
         except OutOfRangeError as e:
             short.append({"dest": stream.dest, "class": stream.klass, "why": str(e)})
             notes.append(f"{name}: {e}")
             continue
-        notes += report.sentences(name, best, whole, precision)
+        notes += report.notes(name, best, whole, precision)
         tries = stream.carried + stream.lost_tries
         rows.append(
             {
@@ -191,17 +191,17 @@
                 "peakedness": told_interval(best.peakedness),
                 "method": best.method,
                 "seconds": best.seconds,
-                "first": best.first,
+                "first": best.first_attempts,
                 "redial_share": whole.redial_share,
                 "steady": whole.steady,
-                "segments": [{"since": s.since, "to": s.to, "rate": s.rate} for s in whole.segments],
+                "segments": [{"since": s.start, "to": s.end, "rate": s.rate} for s in whole.segments],
                 "more_seconds": best.more_seconds,
                 "lost_share": stream.lost_tries / tries if tries else 0.0,
                 "circuits": {
                     "low": need.low,
                     "middle": need.middle,
                     "high": need.high,
-                    "erlang_b": need.plain,
+                    "erlang_b": need.erlang_b,
                 },
             }
         )
--- a/softswitch/dimension/planner.py
+++ b/softswitch/dimension/planner.py
@@ -343,7 +343,7 @@
     shares: dict[str, list[float]] = {s.name: [] for s in streams}
     built = [simulate.Group(g.name, circuits.get(g.name, 0), g.reserve) for g in groups]
     for run in range(runs):
-        for name, seen in simulate.play(built, demands, length, seed * 1009 + run, warm=20.0).demands.items():
+        for name, seen in simulate.run(built, demands, length, seed * 1009 + run, warm=20.0).demands.items():
             shares[name].append(seen.lost / max(1, seen.calls))
     return {name: (float(np.mean(x)), float(np.std(x, ddof=1)) / sqrt(runs)) for name, x in shares.items()}
 
--- a/softswitch/dimension/report.py
+++ b/softswitch/dimension/report.py
@@ -12,16 +12,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class CircuitRange:
     """Circuits for a target, over the interval of the traffic and the peakedness."""
 
     low: int
     middle: int
     high: int
-    plain: int  # by Erlang B at the middle, as if the traffic were random
+    erlang_b: int  # by Erlang B at the middle, as if the traffic were random
 
 
-def circuits(found: Estimate, target: float) -> Need:
+def required_circuits(found: Estimate, target: float) -> CircuitRange:
     """Circuits that the target needs at the low end, the middle and the high end. Peakedness goes by its
     middle where the counts did not pass for random calls, and is 1 where they did. Raises OutOfRangeError.
     """
@@ -30,10 +30,12 @@
         loss.round_up(peaked_traffic.circuits_for(x, target, z))
         for x in (found.erlangs.low, found.erlangs.value, found.erlangs.high)
     ]
-    return Need(at[0], at[1], at[2], loss.round_up(loss.circuits_for(found.erlangs.value, target)))
+    return CircuitRange(at[0], at[1], at[2], loss.round_up(loss.circuits_for(found.erlangs.value, target)))
 
 
-def steady(sample: Sample, level: float = 0.95, precision: float = 0.05) -> tuple[Estimate, Estimate]:
+def estimate_busiest(
+    sample: Sample, level: float = 0.95, precision: float = 0.05
+) -> tuple[Estimate, Estimate]:
     """(estimate to go by, estimate of the whole). Where the traffic did not stand still, the first is that of
     the busiest stretch and not of the average, which would be true of no time at all. Raises OutOfRangeError.
     """
@@ -41,13 +43,13 @@
     if whole.steady:
         return whole, whole
     busiest = max(whole.segments, key=lambda s: s.rate)
-    low, high = round(busiest.since / sample.slot), round(busiest.to / sample.slot)
+    low, high = round(busiest.start / sample.slot), round(busiest.end / sample.slot)
     part = Sample(
         sample.slot,
-        np.asarray(sample.first[low:high]),
+        np.asarray(sample.first_attempts[low:high]),
         sample.call_seconds,
         sample.ended,
-        sample.held2,
+        sample.sum_squared_hold,
         sample.redials,
         sample.blocked,
     )
@@ -57,7 +59,7 @@
         return whole, whole
 
 
-def sentences(name: str, found: Estimate, whole: Estimate, precision: float) -> list[str]:
+def notes(name: str, found: Estimate, whole: Estimate, precision: float) -> list[str]:
     """What must be said beside the figure."""
     said = []
     if found.more_seconds > 0:
@@ -66,7 +68,7 @@
             f"measure {_long(found.more_seconds)} longer"
         )
     if not whole.steady:
-        parts = ", ".join(f"{s.rate:.3g}/s from {s.since:.0f} to {s.to:.0f} s" for s in whole.segments)
+        parts = ", ".join(f"{s.rate:.3g}/s from {s.start:.0f} to {s.end:.0f} s" for s in whole.segments)
         said.append(
             f"{name}: the traffic did not stand still ({parts}); the figures are of the busiest stretch"
         )
--- a/softswitch/dimension/simulate.py
+++ b/softswitch/dimension/simulate.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class CallCounts:
     """What became of one demand's calls in the counted time."""
 
     calls: int = 0
@@ -60,16 +60,16 @@
     """What a traffic record would hold of one demand: shapes (slots,)."""
 
     slot: float
-    first: np.ndarray
+    first_attempts: np.ndarray
     redials: np.ndarray
     erlang_time: float = 0.0  # integral of calls up
     ended: int = 0
-    held2: float = 0.0  # sum of squares of the times that ended calls stood
+    sum_squared_hold: float = 0.0  # sum of squares of the times that ended calls stood
 
 
 @dataclass(slots=True)
 class Outcome:
-    demands: dict[str, Seen] = field(default_factory=dict)
+    demands: dict[str, CallCounts] = field(default_factory=dict)
     carried: dict[str, float] = field(default_factory=dict)  # mean circuits in use, by group
     records: dict[str, Record] = field(default_factory=dict)
 
@@ -106,7 +106,7 @@
     return times
 
 
-def play(
+def run(
     groups: Sequence[Group],
     demands: Sequence[Demand],
     seconds: float,
@@ -142,7 +142,7 @@
     free = [g.circuits for g in groups]
     caps = [g.circuits for g in groups]
     area, last = [0.0] * len(groups), [warm] * len(groups)
-    out = Outcome({d.name: Seen() for d in demands}, {}, {})
+    out = Outcome({d.name: CallCounts() for d in demands}, {}, {})
     seen = [out.demands[d.name] for d in demands]
     slots = int(np.ceil(seconds / slot)) if slot else 0
     if slots:
@@ -162,7 +162,9 @@
             s.calls += nth == 0
             s.tries += 1
             if record is not None:
-                (record.redials if nth else record.first)[min(slots - 1, int((now - warm) / slot))] += 1
+                (record.redials if nth else record.first_attempts)[
+                    min(slots - 1, int((now - warm) / slot))
+                ] += 1
         for k, g in enumerate(routes[n]):
             kept = groups[g].reserve if k else 0
             if free[g] >= d.width + kept:
@@ -192,7 +194,7 @@
             if record is not None and now > warm:
                 record.erlang_time += now - max(began, warm)
                 record.ended += 1
-                record.held2 += (now - began) ** 2
+                record.sum_squared_hold += (now - began) ** 2
 
     for at, kind in order:
         now = float(at)
--- a/softswitch/dimension/traffic.py
+++ b/softswitch/dimension/traffic.py
@@ -29,36 +29,40 @@
     """What a record has of one stream: first tries by slot, and the calls that stood."""
 
     slot: float  # seconds
-    first: np.ndarray  # shape (slots,)
+    first_attempts: np.ndarray  # shape (slots,)
     call_seconds: float  # integral of calls up
     ended: int
-    held2: float  # sum of squares of the seconds that ended calls stood
+    sum_squared_hold: float  # sum of squares of the seconds that ended calls stood
     redials: int = 0
     blocked: int = 0
 
     @property
     def seconds(self) -> float:
-        return self.slot * len(self.first)
+        return self.slot * len(self.first_attempts)
 
     def __post_init__(self) -> None:
         need("slot", self.slot, 0, 1e9, open_low=True)
         need("call_seconds", self.call_seconds, 0, 1e15)
         need("ended", self.ended, 0, 1e15)
-        if len(self.first) == 0 or not np.all(np.isfinite(self.first)) or np.any(self.first < 0):
+        if (
+            len(self.first_attempts) == 0
+            or not np.all(np.isfinite(self.first_attempts))
+            or np.any(self.first_attempts < 0)
+        ):
             raise OutOfRangeError("first tries are counts by slot, at least one slot and none under 0")
 
 
-def joined(samples: Sequence[Sample]) -> Sample:
+def merge_samples(samples: Sequence[Sample]) -> Sample:
     """Several softswitches' shares of one stream, slot by slot; the shortest decides how long."""
     if not samples or len({s.slot for s in samples}) != 1:
         raise OutOfRangeError("slot: samples of one stream are at least one, all with the same slot")
-    n = min(len(s.first) for s in samples)
+    n = min(len(s.first_attempts) for s in samples)
     return Sample(
         samples[0].slot,
-        np.sum([s.first[:n] for s in samples], axis=0),
+        np.sum([s.first_attempts[:n] for s in samples], axis=0),
         sum(s.call_seconds for s in samples),
         sum(s.ended for s in samples),
-        sum(s.held2 for s in samples),
+        sum(s.sum_squared_hold for s in samples),
         sum(s.redials for s in samples),
         sum(s.blocked for s in samples),
     )
@@ -91,7 +95,7 @@
     method: str  # how the interval was made: `random` or `batches`
     bootstrap: Interval | None  # the same figure by block bootstrap, where the sample is long enough
     seconds: float
-    first: int
+    first_attempts: int
     redial_share: float  # redials over all tries
     segments: list[Segment]  # more than one where the traffic did not stand still
     more_seconds: float  # to measure on for the precision asked for; 0 if it is reached
@@ -105,8 +109,8 @@
 class Segment:
     """A stretch in which the rate of first tries stood still, as far as can be told."""
 
-    since: float  # seconds from the sample's begin
-    to: float
+    start: float  # seconds from the sample's begin
+    end: float
     rate: float  # first tries a second
 
 
@@ -124,7 +128,7 @@
             f"{LEAST_ENDED} are needed for a holding time; measure longer"
         )
     mean = sample.call_seconds / sample.ended
-    spread = sample.held2 / sample.ended / mean**2 - 1
+    spread = sample.sum_squared_hold / sample.ended / mean**2 - 1
     # The counted spread is rough on few calls, and too small where the longest have not ended in the time;
     # exponential times (1) are the prior, of 20 calls' worth and more the shorter the sample.
     prior = 20 + sample.ended * min(20.0, 10 * mean / sample.seconds)
@@ -147,7 +151,7 @@
     is 1 + 2 c tau (1 - (1 - e^-x)/x), x = T/tau. c and tau are fitted to the dispersion over spans of 1, 2,
     4, ... slots, each weighted by its number of spans. (0, slot) where nothing can be told.
     """
-    counts, spans, seen, weights = sample.first, [], [], []
+    counts, spans, seen, weights = sample.first_attempts, [], [], []
     width = 1
     while len(counts) // width >= 8:
         n = len(counts) // width
@@ -190,7 +194,7 @@
     settle it: while on the rate is mean + c, and 1/on + 1/off = 1/tau. None for traffic that is not peaky.
     """
     c, tau = burstiness(sample)
-    rate = float(sample.first.sum()) / sample.seconds
+    rate = float(sample.first_attempts.sum()) / sample.seconds
     if c <= 0 or rate <= 0:
         return None
     share = rate / (rate + c)
@@ -204,15 +208,15 @@
     that stands still is not cut. One segment where nothing can be told. `sure`: against a false cut, as a
     Brownian bridge has it; block noise is estimated, so that short samples cut a little more often.
     """
-    rate = float(sample.first.sum()) / sample.seconds
+    rate = float(sample.first_attempts.sum()) / sample.seconds
     whole = [Segment(0.0, sample.seconds, rate)]
     if rate <= 0:
         return whole
     width = max(1, int(np.ceil(max(10 * hold, 20 / rate) / sample.slot)))
-    n = len(sample.first) // width
+    n = len(sample.first_attempts) // width
     if n < 8:
         return whole
-    blocks = sample.first[: n * width].reshape(n, width).sum(axis=1)
+    blocks = sample.first_attempts[: n * width].reshape(n, width).sum(axis=1)
     limit = sqrt(-log((1 - sure) / 2) / 2)  # Kolmogorov's tail, first term
     cuts: list[int] = []
 
@@ -244,12 +248,12 @@
     """(variance of ln rate, degrees of freedom) by batch means: batches long against a holding time, so that
     what is peaky within them averages out. None where the sample is too short for it.
     """
-    total = float(sample.first.sum())
+    total = float(sample.first_attempts.sum())
     for long in (12, 8, 4, 2):
         for n in range(BATCHES[1], BATCHES[0] - 1, -1):
-            width = len(sample.first) // n
+            width = len(sample.first_attempts) // n
             if width and width * sample.slot >= long * hold and total / n >= 5:
-                batches = sample.first[: n * width].reshape(n, width).sum(axis=1)
+                batches = sample.first_attempts[: n * width].reshape(n, width).sum(axis=1)
                 mean = float(batches.mean())
                 return float(batches.var(ddof=1)) / n / mean**2, float(n - 1)
     return None
@@ -262,14 +266,16 @@
     times drawn from their chi-square law; percentiles. None for a sample under 12 blocks: percentiles of so
     few are too narrow.
     """
-    width = max(1, int(np.ceil(max(4 * hold, len(sample.first) ** (1 / 3) * sample.slot) / sample.slot)))
-    n = len(sample.first) // width
-    if n < 12 or sample.first.sum() < CROWD:
+    width = max(
+        1, int(np.ceil(max(4 * hold, len(sample.first_attempts) ** (1 / 3) * sample.slot) / sample.slot))
+    )
+    n = len(sample.first_attempts) // width
+    if n < 12 or sample.first_attempts.sum() < CROWD:
         return None
     random = np.random.default_rng(seed)
-    around = np.concatenate([sample.first, sample.first[:width]])
+    around = np.concatenate([sample.first_attempts, sample.first_attempts[:width]])
     sums = np.concatenate([[0.0], np.cumsum(around)])
-    begins = random.integers(0, len(sample.first), (draws, n))
+    begins = random.integers(0, len(sample.first_attempts), (draws, n))
     rates = (sums[begins + width] - sums[begins]).sum(axis=1) / (n * width * sample.slot)
     interval, cv2 = holding(sample, level)
     dof = 2 * sample.ended / cv2
@@ -278,7 +284,7 @@
     loads = np.maximum(0, rates) * interval.value * dof / random.chisquare(dof, draws)
     low, high = np.quantile(loads, ((1 - level) / 2, (1 + level) / 2))
     return Interval(
-        float(sample.first.sum()) / sample.seconds * interval.value, float(low), float(high), level
+        float(sample.first_attempts.sum()) / sample.seconds * interval.value, float(low), float(high), level
     )
 
 
@@ -287,10 +293,10 @@
     at 1% together.
     """
     for width in (1, 4, 16):
-        n = len(sample.first) // width
+        n = len(sample.first_attempts) // width
         if n < 8:
             break
-        counts = sample.first[: n * width].reshape(n, width).sum(axis=1)
+        counts = sample.first_attempts[: n * width].reshape(n, width).sum(axis=1)
         if counts.mean() <= 0:
             return True
         x = dispersion(counts) * (n - 1)
@@ -310,7 +316,7 @@
     need("level", level, 0.5, 0.9999)
     need("precision", precision, 1e-4, 1)
     hold, cv2 = holding(sample, level)
-    first = int(sample.first.sum())
+    first = int(sample.first_attempts.sum())
     if first < LEAST_ENDED:
         raise OutOfRangeError(
             f"first: only {first} first tries in {sample.seconds:g} s, and {LEAST_ENDED} are needed "
@@ -356,15 +362,20 @@
 
 def _z_interval(sample: Sample, hold: float, z: float, level: float) -> Interval:
     """Peakedness by leaving out one of eight to twenty parts at a time (jackknife), a t interval on ln Z."""
-    n = min(20, max(8, len(sample.first) // 16))
-    width = len(sample.first) // n
+    n = min(20, max(8, len(sample.first_attempts) // 16))
+    width = len(sample.first_attempts) // n
     if width < 8:
         return Interval(z, min(z, 0.05), max(z, 100.0), level)  # nothing can be told
     logs = []
     for k in range(n):
-        left = np.delete(sample.first, slice(k * width, (k + 1) * width))
+        left = np.delete(sample.first_attempts, slice(k * width, (k + 1) * width))
         logs.append(
-            log(peakedness(Sample(sample.slot, left, sample.call_seconds, sample.ended, sample.held2), hold))
+            log(
+                peakedness(
+                    Sample(sample.slot, left, sample.call_seconds, sample.ended, sample.sum_squared_hold),
+                    hold,
+                )
+            )
         )
     spread = sqrt((n - 1) / n * float(((np.array(logs) - np.mean(logs)) ** 2).sum()))
     wide = float(t.ppf((1 + level) / 2, n - 1)) * spread
--- a/softswitch/measure/streams.py
+++ b/softswitch/measure/streams.py
@@ -20,7 +20,7 @@
     dest: int
     klass: str
     slot: float  # seconds
-    first: list[int] = field(default_factory=list)
+    first_attempts: list[int] = field(default_factory=list)
     redials: int = 0
     carried: int = 0
     lost_tries: int = 0  # tries that did not stand, for whatever reason
@@ -28,7 +28,7 @@
     lost_seconds: float = 0.0  # that lost tries waited for their answer, together
     call_seconds: float = 0.0
     ended: int = 0
-    held2: float = 0.0
+    sum_squared_hold: float = 0.0
 
 
 @dataclass(slots=True)
@@ -116,8 +116,8 @@
         if high > low:
             total += high - low
             for key, row in rows.items():
-                found.setdefault(key, Stream(*key, slot / 1000)).first += row[low:high]
-    idle = [not any(column) for column in zip(*(s.first for s in found.values()), strict=True)]
+                found.setdefault(key, Stream(*key, slot / 1000)).first_attempts += row[low:high]
+    idle = [not any(column) for column in zip(*(s.first_attempts for s in found.values()), strict=True)]
     if total and not all(idle):  # before the first call and after the last one nothing was offered
         low, high = idle.index(False), total - idle[::-1].index(False)
         if low or high < total:
@@ -127,9 +127,9 @@
             )
         total = high - low
         for stream in found.values():
-            stream.first = stream.first[low:high]
+            stream.first_attempts = stream.first_attempts[low:high]
     for stream in found.values():
-        stream.call_seconds, ended, stream.held2 = holds.get(stream.klass, [0.0, 0, 0.0])
+        stream.call_seconds, ended, stream.sum_squared_hold = holds.get(stream.klass, [0.0, 0, 0.0])
         stream.ended = int(ended)
     if missing:
         notes.append(f"{missing} intervals between the first and the last were not written, and are left out")
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -26,7 +26,7 @@
 
 
 def sample(erlangs, seconds, seed, slot=0.1, circuits=10_000, **more):
-    seen = simulate.play(
+    seen = simulate.run(
         [simulate.Group("g", circuits)],
         [simulate.Demand("x", erlangs, ("g",), **more)],
         seconds,
@@ -35,16 +35,21 @@
         slot=slot,
     ).records["x"]
     return traffic.Sample(
-        seen.slot, seen.first, seen.erlang_time, seen.ended, seen.held2, int(seen.redials.sum())
+        seen.slot,
+        seen.first_attempts,
+        seen.erlang_time,
+        seen.ended,
+        seen.sum_squared_hold,
+        int(seen.redials.sum()),
     )
 
 
 def test_simulation_agrees_with_theory():
-    out = simulate.play([simulate.Group("g", 10)], [simulate.Demand("x", 8, ("g",))], 20_000, 1, warm=20)
+    out = simulate.run([simulate.Group("g", 10)], [simulate.Demand("x", 8, ("g",))], 20_000, 1, warm=20)
     x = out.demands["x"]
     assert x.lost / x.calls == pytest.approx(loss.erlang_b(10, 8), rel=0.03)
     assert out.carried["g"] == pytest.approx(8 * (1 - loss.erlang_b(10, 8)), rel=0.02)
-    wide = simulate.play(
+    wide = simulate.run(
         [simulate.Group("g", 20)],
         [simulate.Demand("a", 8, ("g",)), simulate.Demand("b", 2, ("g",), width=4)],
         20_000,
@@ -54,7 +59,7 @@
     want = widths.blocking(20, [widths.Stream(8), widths.Stream(2, 4)])
     got = [wide.demands[n].lost / wide.demands[n].calls for n in ("a", "b")]
     assert got == pytest.approx(want, rel=0.08)
-    both = simulate.play(
+    both = simulate.run(
         [simulate.Group("1", 8), simulate.Group("2", 14, reserve=3)],
         [simulate.Demand("a", 10, ("1", "2")), simulate.Demand("b", 8, ("2", "1"))],
         20_000,
@@ -67,7 +72,7 @@
     free = mutual.pair((8, 14), (10, 8))
     assert free.first == pytest.approx(loss.erlang_b(22, 18)) == pytest.approx(free.second)
     # overflow's moments, and the mean a switched stream holds where nothing blocks it
-    over = simulate.play(
+    over = simulate.run(
         [simulate.Group("1", 6), simulate.Group("2", 10_000)],
         [simulate.Demand("a", 8, ("1", "2"))],
         20_000,
@@ -75,9 +80,7 @@
         warm=20,
     )
     assert over.carried["2"] == pytest.approx(peaked_traffic.overflow(6, 8)[0], rel=0.04)
-    peaks = simulate.play(
-        [simulate.Group("g", 16)], [simulate.Demand("x", 8, ("g",), on=2, off=2)], 40_000, 5
-    )
+    peaks = simulate.run([simulate.Group("g", 16)], [simulate.Demand("x", 8, ("g",), on=2, off=2)], 40_000, 5)
     x, z = peaks.demands["x"], peaked_traffic.interrupted_poisson(8, 2, 2)[1]
     assert x.lost / x.calls == pytest.approx(
         peaked_traffic.interrupted_poisson_blocking(16, 8, 2, 2)[0], rel=0.05
@@ -89,8 +92,8 @@
 
 def test_the_same_calls_meet_every_network():
     demands = [simulate.Demand("a", 5, ("g",)), simulate.Demand("b", 3, ("g",), on=1, off=3)]
-    runs = [simulate.play([simulate.Group("g", n)], demands, 500, 7, slot=1.0) for n in (4, 40, 4)]
-    assert np.array_equal(runs[0].records["b"].first, runs[1].records["b"].first)
+    runs = [simulate.run([simulate.Group("g", n)], demands, 500, 7, slot=1.0) for n in (4, 40, 4)]
+    assert np.array_equal(runs[0].records["b"].first_attempts, runs[1].records["b"].first_attempts)
     assert runs[0].demands == runs[2].demands
     assert runs[0].carried == runs[2].carried
     assert runs[0].demands["a"].lost > runs[1].demands["a"].lost == 0
@@ -121,22 +124,22 @@
     assert found.peakedness.low < z < found.peakedness.high
     assert 0.6 * z < found.peakedness.value < 1.6 * z
     s = sample(10.0, 1_200.0, 6, profile=((400.0, 2.0), (800.0, 1.0)))
-    best, whole = report.steady(s)
+    best, whole = report.estimate_busiest(s)
     assert not whole.steady
     assert len(whole.segments) == 3
-    assert [p.to for p in whole.segments[:2]] == pytest.approx([400, 800], abs=25)
+    assert [p.end for p in whole.segments[:2]] == pytest.approx([400, 800], abs=25)
     assert best.erlangs.low < 20 < best.erlangs.high  # the busy stretch, not 13.3
-    assert any("did not stand still" in line for line in report.sentences("x", best, whole, 0.05))
+    assert any("did not stand still" in line for line in report.notes("x", best, whole, 0.05))
     steady = sum(traffic.estimate(sample(10.0, 600.0, seed)).steady for seed in range(30))
     assert steady >= 28
 
 
 def test_a_short_sample_gives_no_bare_number():
-    best, whole = report.steady(sample(10.0, 5.0, 1))
-    said = report.sentences("x", best, whole, 0.05)
+    best, whole = report.estimate_busiest(sample(10.0, 5.0, 1))
+    said = report.notes("x", best, whole, 0.05)
     assert "known to ±" in said[0]
     assert "longer" in said[0]
-    need = report.circuits(best, 0.01)
+    need = report.required_circuits(best, 0.01)
     assert need.low < need.middle < need.high
     # and after that much longer the precision is there, within a fifth
     longer = traffic.estimate(sample(10.0, 5.0 + best.more_seconds, 2))
