--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -44,7 +44,7 @@
     except planner.InfeasibleError:
         cost = None
     try:
-        best = planner.brute(groups, streams)[0]
+        best = planner.brute_force(groups, streams)[0]
     except planner.InfeasibleError:
         best = None
     return cost, best
@@ -93,10 +93,10 @@
     groups, streams = drawn(seed, 1, 3, 14)
     streams = [Stream(s.name, s.group, s.erlangs, s.target) for s in streams]
     try:
-        found, _ = planner.checked(groups, streams)
+        found, _ = planner.verified_plan(groups, streams)
     except planner.InfeasibleError:
         return []
-    seen = planner.lost_in_play(groups, streams, found.circuits, "middle", 77_000 + seed, 10, 2000.0)
+    seen = planner.simulated_loss(groups, streams, found.circuits, "middle", 77_000 + seed, 10, 2000.0)
     return [(s.name, s.target, *seen[s.name]) for s in streams]
 
 
@@ -111,10 +111,11 @@
         )
         groups, streams = drawn(3, 20, 4, 14)
         began = time.perf_counter()
-        found = planner.plan(groups, streams, each=pool.map)
+        found = planner.plan(groups, streams, map_function=pool.map)
         print(
             f"{len(groups)} groups in {time.perf_counter() - began:.1f} s: cost {found.cost:.1f}, "
-            f"{found.rounds} programmes, {found.evaluated} choices looked at, monotone {found.monotone}"
+            f"{found.programs_solved} programmes, {found.choices_evaluated} choices looked at, "
+            f"monotone {found.monotone}"
         )
         told = [row for rows in pool.map(fed_back, range(40)) for row in rows]
         played = [row for rows in pool.map(checked, range(100, 160)) for row in rows]
--- a/benchmarks/record_cost.py
+++ b/benchmarks/record_cost.py
@@ -9,7 +9,7 @@
 from statistics import median
 
 from softswitch.measure.record import TrafficRecord
-from softswitch.measure.recordfile import encoded
+from softswitch.measure.recordfile import encode_histogram
 
 
 def day(record, seconds, seed):
@@ -47,14 +47,14 @@
     for n in range(60 * 62):
         now = n * 1000 / 62
         dest, klass = n % 3, ("price-check", "save-quote")[n % 5 == 0]
-        r.came(now, dest, klass, False)
-        seats.append((now, r.settled(now, dest, dest, klass, "carried", 10 + n % 90, False)))
+        r.attempt_received(now, dest, klass, False)
+        seats.append((now, r.attempt_settled(now, dest, dest, klass, "carried", 10 + n % 90, False)))
         if len(seats) > 500:
             since, seat = seats.pop(0)
-            r.over(now, seat, now - since)
+            r.call_ended(now, seat, now - since)
     held = tracemalloc.get_traced_memory()[0]
-    r.turn(60_000.0)
-    entry = len(orjson.dumps(saved[0], default=encoded))
+    r.roll_over(60_000.0)
+    entry = len(orjson.dumps(saved[0], default=encode_histogram))
     print(
         f"record in memory: {held / 1024:.0f} KiB with 500 calls up; an entry of 60 s: {entry} bytes; "
         f"a day of them: {entry * 1440 / 1e6:.1f} MB"
--- a/benchmarks/replay_sockets.py
+++ b/benchmarks/replay_sockets.py
@@ -64,7 +64,7 @@
     from softswitch.dimension import loss, mutual, peaked_traffic, report, traffic, widths
     from softswitch.dimension.traffic import merge_samples
     from softswitch.measure.recordfile import read
-    from softswitch.measure.streams import measured
+    from softswitch.measure.streams import aggregate_streams
     from softswitch.standin.fleet import Day, Fleet
 
     day = Day(
@@ -77,8 +77,8 @@
         patience=2.0,
     )
     result = Fleet(day).play()
-    streams = measured([read(p) for p in result.records]).streams
-    samples = {(s.dest, s.klass): sample_of(s) for s in streams}
+    streams = aggregate_streams([read(p) for p in result.records]).streams
+    samples = {(s.dest, s.call_class): sample_of(s) for s in streams}
     found = {k: report.estimate_busiest(s) for k, s in samples.items()}
     circuits = [e.circuits for e in day.engines]
     erlangs = {k: whole.erlangs.value for k, (_, whole) in found.items()}
@@ -86,7 +86,7 @@
     tries = sum(t.tries for t in tallies.values())
     observed = sum(t.codes[503] + t.codes[500] for t in tallies.values()) / tries
     total = sum(erlangs.values())
-    lost = sum(s.lost_tries for s in streams)
+    lost = sum(s.lost_attempts for s in streams)
     # how long calls without a circuit were held
     held = sum(s.lost_seconds for s in streams) / max(1, lost) / HOLD
     waits = loss.loss_with_fixed_wait(sum(circuits), total, held) / loss.erlang_b(sum(circuits), total)
@@ -142,7 +142,7 @@
     elif name == "redials":
         # tries are limited, so the redial share of blocked tries is the one that was seen
         redials = sum(s.redials for s in samples.values())
-        blocked = sum(s.lost_tries for s in streams)
+        blocked = sum(s.lost_attempts for s in streams)
         predicted, _ = loss.erlang_b_redials(circuits[0], total, min(0.99, redials / max(1, blocked)))
         more = {"again seen": round(redials / max(1, blocked), 3)}
     else:
--- a/softswitch/cli/plots.py
+++ b/softswitch/cli/plots.py
@@ -8,10 +8,10 @@
 
 from softswitch.cli.traffic import cell
 from softswitch.dimension import network, peaked_traffic, planner
-from softswitch.measure.streams import Measured
+from softswitch.measure.streams import MeasuredTraffic
 
 
-def over_time(found: Measured) -> Any:
+def over_time(found: MeasuredTraffic) -> Any:
     """First tries a second by stream, and calls up by cell, over time."""
     figure = Figure(figsize=(9, 6), layout="constrained")
     above, below = figure.subplots(2, 1)
@@ -25,7 +25,7 @@
             [k * width * found.slot for k in range(n)],
             rates,
             where="post",
-            label=f"{cell(stream.dest)}/{stream.klass}",
+            label=f"{cell(stream.dest)}/{stream.call_class}",
         )
     above.set(xlabel="s", ylabel="first tries a second")
     above.legend(fontsize="small", ncols=3)
--- a/softswitch/cli/traffic.py
+++ b/softswitch/cli/traffic.py
@@ -96,11 +96,11 @@
         bad(e)
     told = summary(contents.entries)
     if as_json:
-        print(orjson.dumps({"file": file, "cut": contents.cut} | told).decode())
+        print(orjson.dumps({"file": file, "cut": contents.stop_reason} | told).decode())
         return
     screen = Console()
-    if contents.cut:
-        screen.print(f"{file}: {contents.cut}", markup=False)
+    if contents.stop_reason:
+        screen.print(f"{file}: {contents.stop_reason}", markup=False)
     screen.print(f"{told['intervals']} intervals, {told['seconds']:.0f} s")
     screen.print(routes_table(told["routes"]))
     screen.print(cells_table(told["cells"]))
--- a/softswitch/cli/trunks.py
+++ b/softswitch/cli/trunks.py
@@ -22,7 +22,7 @@
 from softswitch.dimension.loss import OutOfRangeError
 from softswitch.dimension.traffic import Interval, Sample
 from softswitch.measure.recordfile import RecordFileError, read
-from softswitch.measure.streams import Measured, Stream, measured
+from softswitch.measure.streams import MeasuredTraffic, Stream, aggregate_streams
 
 POOL_FROM = 24  # groups from which a plan is worked out by several processes
 
@@ -144,9 +144,9 @@
     )
 
 
-def records(files: list[str]) -> Measured:
+def records(files: list[str]) -> MeasuredTraffic:
     try:
-        return measured([read(file) for file in files])
+        return aggregate_streams([read(file) for file in files])
     except RecordFileError as e:
         bad(e)
 
@@ -170,20 +170,20 @@
     rows: list[dict[str, Any]] = []
     streams: list[dict[str, Any]] = []
     for stream in found.streams:
-        name = f"{cell(stream.dest)}/{stream.klass}"
+        name = f"{cell(stream.dest)}/{stream.call_class}"
         try:
             best, whole = report.estimate_busiest(sample_of(stream), level, precision)
             need = report.required_circuits(best, target)
         except OutOfRangeError as e:
-            short.append({"dest": stream.dest, "class": stream.klass, "why": str(e)})
+            short.append({"dest": stream.dest, "class": stream.call_class, "why": str(e)})
             notes.append(f"{name}: {e}")
             continue
         notes += report.notes(name, best, whole, precision)
-        tries = stream.carried + stream.lost_tries
+        tries = stream.carried + stream.lost_attempts
         rows.append(
             {
                 "dest": stream.dest,
-                "class": stream.klass,
+                "class": stream.call_class,
                 "erlangs": told_interval(best.erlangs),
                 "bootstrap": told_interval(best.bootstrap) if best.bootstrap else None,
                 "rate": told_interval(best.rate),
@@ -196,7 +196,7 @@
                 "steady": whole.steady,
                 "segments": [{"since": s.start, "to": s.end, "rate": s.rate} for s in whole.segments],
                 "more_seconds": best.more_seconds,
-                "lost_share": stream.lost_tries / tries if tries else 0.0,
+                "lost_share": stream.lost_attempts / tries if tries else 0.0,
                 "circuits": {
                     "low": need.low,
                     "middle": need.middle,
@@ -210,7 +210,7 @@
             {
                 "name": name,
                 "group": cell(stream.dest),
-                "class": stream.klass,
+                "class": stream.call_class,
                 "erlangs": best.erlangs.value,
                 "low": best.erlangs.low,
                 "high": best.erlangs.high,
@@ -368,7 +368,7 @@
     try:
         with quiet():
             if check:
-                return groups, streams, planner.checked(groups, streams, where)[0]
+                return groups, streams, planner.verified_plan(groups, streams, where)[0]
             if len(groups) >= POOL_FROM:
                 with ProcessPoolExecutor() as pool:
                     return groups, streams, planner.plan(groups, streams, where, pool.map)
--- a/softswitch/dimension/planner.py
+++ b/softswitch/dimension/planner.py
@@ -10,7 +10,7 @@
   larger than that. This is exact as long as more circuits never lose more, which `monotone` checks on the
   way.
 
-A cluster that `MOST_ROUNDS` programmes do not settle is finished by enumeration in order of a lower bound:
+A cluster that `MAX_PROGRAMS` programmes do not settle is finished by enumeration in order of a lower bound:
 the cost of its direct groups and of the fewest circuits that the first kind of cut leaves its final group. It
 ends where the bound reaches the best choice found, or the programme's own bound does.
 """
@@ -40,7 +40,7 @@
     service,
 )
 
-MOST_ROUNDS = 12  # programmes solved for one cluster before it is enumerated
+MAX_PROGRAMS = 12  # programmes solved for one cluster before it is enumerated
 MOST_CHOICES = 4_000_000  # of direct groups' modules that are enumerated at most
 
 
@@ -56,8 +56,8 @@
     circuits: dict[str, int]
     cost: float
     service: Service
-    rounds: int  # programmes solved
-    evaluated: int  # choices whose loss was worked out
+    programs_solved: int  # programmes solved
+    choices_evaluated: int  # choices whose loss was worked out
     monotone: bool  # no choice was seen that lost more with more circuits
 
 
@@ -196,7 +196,7 @@
                 var * -room for var, room in zip(y, rooms, strict=True)
             ]
             h.addConstr(sum(terms[1:], terms[0]) <= -own)
-        for rounds in range(1, MOST_ROUNDS + 1):
+        for rounds in range(1, MAX_PROGRAMS + 1):
             h.run()
             if h.getModelStatus() != highspy.HighsModelStatus.kOptimal:
                 raise InfeasibleError("; ".join(self.missed()) or "no choice is left")
@@ -207,7 +207,7 @@
             above = self.raised(choice)
             larger = [var for row, k in zip([*x, y], above, strict=True) for var in row[k + 1 :]]
             h.addConstr(sum(larger[1:], larger[0]) >= 1)
-        return self._enumerated(np.array(rooms), own, float(h.getObjectiveValue())), MOST_ROUNDS
+        return self._enumerated(np.array(rooms), own, float(h.getObjectiveValue())), MAX_PROGRAMS
 
     def _enumerated(self, rooms: np.ndarray, own: float, floor: float) -> tuple[int, ...]:
         """The cheapest choice, by the lower bound's order; `floor` bounds the cost from below."""
@@ -251,11 +251,11 @@
     groups: Sequence[Group],
     streams: Sequence[Stream],
     where: str = "middle",
-    each: Callable[..., Iterable[Any]] = map,
+    map_function: Callable[..., Iterable[Any]] = map,
 ) -> Plan:
     """The cheapest modules that meet every stream's target with its traffic at this end of its estimate.
 
-    each: `map`, or that of a pool of processes, as clusters don't touch one another. Raises
+    map_function: `map`, or that of a pool of processes, as clusters don't touch one another. Raises
     OutOfRangeError for what cannot be, InfeasibleError where no purchase is enough.
     """
     check(groups, streams)
@@ -263,7 +263,7 @@
     rounds = evaluated = 0
     monotone, missed = True, []
     parts = [Cluster(direct, final, streams, where) for direct, final in clusters(groups, streams)]
-    for part, (choice, why, took, looked, rises) in zip(parts, each(settle, parts), strict=True):
+    for part, (choice, why, took, looked, rises) in zip(parts, map_function(settle, parts), strict=True):
         if choice is None:
             missed.append(f"group {part.final.name}: {why}")
             continue
@@ -284,7 +284,9 @@
     )
 
 
-def brute(groups: Sequence[Group], streams: Sequence[Stream], where: str = "middle") -> tuple[float, int]:
+def brute_force(
+    groups: Sequence[Group], streams: Sequence[Stream], where: str = "middle"
+) -> tuple[float, int]:
     """(least cost, choices tried) by trying everything: what `plan` is held against on small networks.
     Raises InfeasibleError like `plan`.
     """
@@ -318,7 +320,7 @@
     return {where: service(groups, streams, left, where, factor) for where in ("low", "middle", "high")}
 
 
-def lost_in_play(
+def simulated_loss(
     groups: Sequence[Group],
     streams: Sequence[Stream],
     circuits: dict[str, int],
@@ -348,7 +350,7 @@
     return {name: (float(np.mean(x)), float(np.std(x, ddof=1)) / sqrt(runs)) for name, x in shares.items()}
 
 
-def checked(
+def verified_plan(
     groups: Sequence[Group], streams: Sequence[Stream], where: str = "middle", seed: int = 1, tries: int = 8
 ) -> tuple[Plan, dict[str, tuple[float, float]]]:
     """(plan, what its streams lost in simulation): plans, plays the plan, and plans again with a stricter
@@ -359,7 +361,7 @@
     asked = list(streams)
     for n in range(tries):
         found = plan(groups, asked, where)
-        seen = lost_in_play(groups, streams, found.circuits, where, seed + n)
+        seen = simulated_loss(groups, streams, found.circuits, where, seed + n)
         over = {s.name: seen[s.name][0] / s.target for s in streams if seen[s.name][0] > s.target}
         if not over:
             return found, seen
--- a/softswitch/measure/record.py
+++ b/softswitch/measure/record.py
@@ -1,7 +1,8 @@
 """The traffic record: arrivals, outcomes and occupancy by route, class and interval, in bounded memory.
 
-The switch tells of each call twice or three times (`came`, `settled`, `over`); everything else happens once
-an interval. Times are milliseconds: on the wheel's clock in calls, Unix milliseconds in what is written.
+The switch reports each call two or three times (`attempt_received`, `attempt_settled`, `call_ended`); all
+other work is done once an interval. Times are milliseconds: on the clock of the timer wheel in method calls,
+Unix milliseconds in the entries.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-MOST_ROUTES = 64  # of arrivals, of outcomes and of occupancy, each; what is over is booked under OTHER
+MAX_ROUTES = 64  # of arrivals, of outcomes and of occupancy, each; what is over is booked under OTHER
 OTHER = -2  # the cell of what found no room; -1: no cell was named, or none took the call
 LONGEST_MS, DIGITS = 3_600_000, 2  # histograms: 1 ms to an hour, two significant digits
 
@@ -107,24 +108,24 @@
 
     # from the switch
 
-    def came(self, now: float, dest: int, klass: str, redial: bool) -> None:
+    def attempt_received(self, now: float, dest: int, klass: str, redial: bool) -> None:
         """A call has arrived; `now` in ms, `dest` its destination's number, `klass` its class."""
         if now >= self.until:
-            self.turn(now)
+            self.roll_over(now)
         seen = self.arrivals.get((dest, klass))
         if seen is None:
             seen = self._room(self.arrivals, (dest, klass), (OTHER, "other"), self._no_arrivals)
         n = min(self.slots - 1, int((now - (self.until - self.interval)) / self.slot))
         (seen.redials if redial else seen.first)[n] += 1
 
-    def settled(
+    def attempt_settled(
         self, now: float, tried: int, took: int, klass: str, outcome: str, delay: float, redial: bool
     ) -> Occupancy | None:
         """A set-up has its answer, or was given up. `took` is -1 where it does not stand; where it does, its
-        seat comes back, which `over` wants.
+        seat comes back, which `call_ended` expects.
         """
         if now >= self.until:
-            self.turn(now)
+            self.roll_over(now)
         key = (tried, took, klass)
         seen = self.routes.get(key)
         if seen is None:
@@ -141,10 +142,10 @@
         seat.turn(now, 1)
         return seat
 
-    def over(self, now: float, seen: Occupancy, held: float) -> None:
+    def call_ended(self, now: float, seen: Occupancy, held: float) -> None:
         """The call of this seat has ended after `held` ms."""
         if now >= self.until:
-            self.turn(now)
+            self.roll_over(now)
         seen.turn(now, -1)
         seen.ended += 1
         seen.held_sum += held
@@ -159,14 +160,14 @@
     @staticmethod
     def _room(table: dict[Any, Any], key: Any, other: Any, make: Callable[[], Any]) -> Any:
         """The entry of this key, or the common one once the table is full: its size has a bound."""
-        if len(table) >= MOST_ROUTES and key not in table:
+        if len(table) >= MAX_ROUTES and key not in table:
             key = other
         found = table.get(key)
         if found is None:
             found = table[key] = make()
         return found
 
-    def turn(self, now: float, last: bool = False) -> None:
+    def roll_over(self, now: float, last: bool = False) -> None:
         """Closes the interval that is over, and begins the one that `now` lies in."""
         if now < self.until and not last:
             return
--- a/softswitch/measure/recordfile.py
+++ b/softswitch/measure/recordfile.py
@@ -30,13 +30,16 @@
 
 @dataclass(slots=True)
 class Contents:
-    """What a file holds. `cut`: why reading ended before the file did, else empty; `good`: bytes read."""
+    """What a file holds. `stop_reason` tells why reading ended before the end of the file, or is empty.
+
+    `valid_bytes` is the length of the part that was read.
+    """
 
     path: str
     heads: list[dict[str, Any]] = field(default_factory=list)
     entries: list[dict[str, Any]] = field(default_factory=list)
-    cut: str = ""
-    good: int = 0
+    stop_reason: str = ""
+    valid_bytes: int = 0
 
 
 def frames(data: bytes, at: int) -> Iterator[tuple[int, bytes]]:
@@ -63,7 +66,7 @@
                 f"{path}: no traffic record; name a file that a softswitch wrote (`record` in the "
                 "operator file)"
             )
-        found.cut = f"cut at byte {len(data)}, within its head: nothing is left"
+        found.stop_reason = f"cut at byte {len(data)}, within its head: nothing is left"
         return found
     magic, version = START.unpack_from(data)
     if magic != MAGIC:
@@ -75,18 +78,18 @@
             f"{path}: written by version {version} of the format, and this program reads {VERSION}; "
             "read it with the willowhitch that wrote it"
         )
-    found.good = START.size
+    found.valid_bytes = START.size
     for end, payload in frames(data, START.size):
         try:
             entry = orjson.loads(payload)
         except ValueError:
             break  # its checksum is right: written so. Nothing behind it can be trusted either.
         (found.heads if entry.get("kind") == "head" else found.entries).append(entry)
-        found.good = end
-    if found.good < len(data):
-        found.cut = (
-            f"{len(data) - found.good} bytes after byte {found.good} are cut or spoilt and were left "
-            f"out; {len(found.entries)} whole intervals were read"
+        found.valid_bytes = end
+    if found.valid_bytes < len(data):
+        found.stop_reason = (
+            f"{len(data) - found.valid_bytes} bytes after byte {found.valid_bytes} are cut or spoilt and "
+            f"were left out; {len(found.entries)} whole intervals were read"
         )
     return found
 
@@ -108,12 +111,12 @@
         self.path, self.most = Path(path), most
         self.head = orjson.dumps({"kind": "head"} | head)
         self.file: Any = None
-        self.at = 0
+        self.size = 0
 
     def write(self, entry: dict[str, Any]) -> None:
         """Appends one entry, and starts a new file where this one is full. OSError if the disk refuses."""
-        payload = orjson.dumps(entry, default=encoded)
-        if self.file is not None and self.at + len(payload) + FRAME.size > self.most:
+        payload = orjson.dumps(entry, default=encode_histogram)
+        if self.file is not None and self.size + len(payload) + FRAME.size > self.most:
             self.close()
             os.replace(self.path, self.path.with_name(self.path.name + ".1"))
         try:
@@ -128,18 +131,18 @@
         good = 0
         if self.path.exists():
             contents = read(self.path)
-            good = contents.good
+            good = contents.valid_bytes
             if good >= self.most:
                 os.replace(self.path, self.path.with_name(self.path.name + ".1"))
                 good = 0
         self.file = open(self.path, "r+b" if self.path.exists() else "w+b", buffering=0)  # noqa: SIM115
         self.file.truncate(good)
         self.file.seek(good)
-        self.at = good
+        self.size = good
         if good < START.size:
             self.file.truncate(0)
             self.file.seek(0)
-            self.at = self._all(START.pack(MAGIC, VERSION))
+            self.size = self._all(START.pack(MAGIC, VERSION))
         self._append(self.head)
 
     def _all(self, data: bytes) -> int:
@@ -149,7 +152,7 @@
         return len(data)
 
     def _append(self, payload: bytes) -> None:
-        self.at += self._all(frame(payload, self.at))
+        self.size += self._all(frame(payload, self.size))
         os.fsync(self.file.fileno())
 
     def close(self) -> None:
@@ -159,6 +162,6 @@
             file.close()
 
 
-def encoded(value: Any) -> Any:
+def encode_histogram(value: Any) -> Any:
     """Histograms as their own compressed text (HdrHistogram V2), for orjson."""
     return value.encode().decode() if value.get_total_count() else ""
--- a/softswitch/measure/recording.py
+++ b/softswitch/measure/recording.py
@@ -17,7 +17,7 @@
 from softswitch.measure.record import TrafficRecord
 from softswitch.measure.recordfile import RecordFileError, Writer, read
 
-MOST_WAITING = 8  # intervals that wait to be written; a disk slower than that loses the newest
+MAX_PENDING_INTERVALS = 8  # intervals that wait to be written; a disk slower than that loses the newest
 
 
 def rejection_outcome(call: Call) -> str:
@@ -44,14 +44,14 @@
     ) -> None:
         self.switch, self.writer, self.in_thread, self.aims = switch, writer, in_thread, aims
         self.table: Any = None
-        self.waiting: deque[dict[str, Any]] = deque()
+        self.pending: deque[dict[str, Any]] = deque()
         self.writing, self.failing = Lock(), False  # taken by writing threads alone, never by the loop
         self.record = TrafficRecord(interval, slot, clock, self._save, switch.wheel.now)
         self._tick()
 
     def _tick(self) -> None:
         now = self.switch.wheel.now
-        self.record.turn(now)
+        self.record.roll_over(now)
         self.switch.wheel.call_at(max(now + 1.0, self.record.until), self._tick)
 
     # as a `core.call.CallObserver`
@@ -59,7 +59,9 @@
     def call_received(self, call: Call) -> None:
         """A call was taken in."""
         request = call.request
-        self.record.came(call.received_at, request.destination_cell, request.call_class, request.redial)
+        self.record.attempt_received(
+            call.received_at, request.destination_cell, request.call_class, request.redial
+        )
 
     def call_settled(self, call: Call, result: CallResult) -> None:
         """A call is owed no answer any more."""
@@ -72,7 +74,7 @@
         elif result is CallResult.REJECTED:
             outcome = rejection_outcome(call)
         first_route = cells.get(call.first_server, request.destination_cell)
-        call.record_slot = self.record.settled(
+        call.record_slot = self.record.attempt_settled(
             now, first_route, carried_by, request.call_class, outcome, delay, request.redial
         )
 
@@ -82,25 +84,25 @@
         if (
             call.record_slot is not None and call.established_at is not None
         ):  # else it began before the record
-            self.record.over(now, call.record_slot, now - call.established_at)
+            self.record.call_ended(now, call.record_slot, now - call.established_at)
 
     # to the file
 
     def _save(self, entry: dict[str, Any]) -> None:
         """In the loop: it must not wait for a disk, however long a write takes."""
-        if len(self.waiting) >= MOST_WAITING:
+        if len(self.pending) >= MAX_PENDING_INTERVALS:
             self.switch.counters[Count.RECORD_INTERVALS_LOST] += 1
             return
         self.switch.counters[Count.RECORD_INTERVALS] += 1
-        self.waiting.append(entry)
+        self.pending.append(entry)
         self.in_thread(self._write)
 
     def _write(self) -> None:
         """In a thread of the reactor's pool, one at a time."""
         with self.writing:
-            while self.waiting:
+            while self.pending:
                 try:
-                    self.writer.write(self.waiting.popleft())
+                    self.writer.write(self.pending.popleft())
                     self.failing = False
                 except (OSError, RecordFileError) as e:
                     self.switch.counters[Count.RECORD_INTERVALS_LOST] += 1
@@ -127,7 +129,7 @@
     def stop(self) -> None:
         """The interval under way is written as far as it got."""
         self.in_thread = lambda work: work()
-        self.record.turn(self.switch.wheel.now, last=True)
+        self.record.roll_over(self.switch.wheel.now, last=True)
         self.writer.close()
 
 
--- a/softswitch/measure/streams.py
+++ b/softswitch/measure/streams.py
@@ -18,12 +18,12 @@
     """First tries of one destination and class; holding times are those of the class, wherever it stood."""
 
     dest: int
-    klass: str
+    call_class: str
     slot: float  # seconds
     first_attempts: list[int] = field(default_factory=list)
     redials: int = 0
     carried: int = 0
-    lost_tries: int = 0  # tries that did not stand, for whatever reason
+    lost_attempts: int = 0  # tries that did not stand, for whatever reason
     blocked: int = 0  # of these, for want of a circuit
     lost_seconds: float = 0.0  # that lost tries waited for their answer, together
     call_seconds: float = 0.0
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class Measured:
+class MeasuredTraffic:
     """All streams over the same slots, and what was left out."""
 
     slot: float
@@ -66,14 +66,14 @@
     return interval, slot, by_begin
 
 
-def measured(contents: Sequence[Contents]) -> Measured:
+def aggregate_streams(contents: Sequence[Contents]) -> MeasuredTraffic:
     """Streams of one or more softswitches' records together, slot by slot on their common clock.
 
     Slots that no file covers in whole are left out, first and last ones as a rule; intervals that are missing
     between are left out too, and told. Raises RecordFileError.
     """
     interval, slot, by_begin = intervals(contents)
-    slots, notes = round(interval / slot), [f"{c.path}: {c.cut}" for c in contents if c.cut]
+    slots, notes = round(interval / slot), [f"{c.path}: {c.stop_reason}" for c in contents if c.stop_reason]
     found: dict[tuple[int, str], Stream] = {}
     holds: dict[str, list[float]] = {}
     erlangs: dict[int, list[float]] = {}
@@ -101,7 +101,7 @@
                 if key in keys:
                     stream = found.setdefault(key, Stream(*key, slot / 1000))
                     stream.carried += r["carried"] + r["late"]
-                    stream.lost_tries += sum(r[w] for w in BLOCKED)
+                    stream.lost_attempts += sum(r[w] for w in BLOCKED)
                     stream.blocked += r["blocked"] + r["refused_before"]
                     stream.lost_seconds += r["lost_ms"] / 1000
             for o in e["occupied"]:
@@ -129,10 +129,10 @@
         for stream in found.values():
             stream.first_attempts = stream.first_attempts[low:high]
     for stream in found.values():
-        stream.call_seconds, ended, stream.sum_squared_hold = holds.get(stream.klass, [0.0, 0, 0.0])
+        stream.call_seconds, ended, stream.sum_squared_hold = holds.get(stream.call_class, [0.0, 0, 0.0])
         stream.ended = int(ended)
     if missing:
         notes.append(f"{missing} intervals between the first and the last were not written, and are left out")
-    return Measured(
+    return MeasuredTraffic(
         slot / 1000, total * slot / 1000, [found[k] for k in sorted(found)], notes, erlangs, peaks
     )
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -171,7 +171,7 @@
     for seed in range(30):
         groups, streams = drawn(seed, 1 + seed % 3, 4 + 2 * (seed % 2), reserve=seed % 4 == 3)
         try:
-            best = planner.brute(groups, streams)[0]
+            best = planner.brute_force(groups, streams)[0]
         except planner.InfeasibleError:
             none += 1
             with pytest.raises(planner.InfeasibleError, match="loses .* and may lose"):
@@ -184,9 +184,9 @@
 
 def test_enumeration_finds_what_the_programmes_find(monkeypatch):
     groups, streams = drawn(2, 3, 6)
-    best = planner.brute(groups, streams)[0]
+    best = planner.brute_force(groups, streams)[0]
     for rounds in (1, 3, 500):
-        monkeypatch.setattr(planner, "MOST_ROUNDS", rounds)
+        monkeypatch.setattr(planner, "MAX_PROGRAMS", rounds)
         assert planner.plan(groups, streams).cost == pytest.approx(best)
 
 
@@ -194,7 +194,7 @@
     groups, streams = drawn(2, 2, 10)
     streams = [Stream(s.name, s.group, s.erlangs, s.target) for s in streams]
     plain = planner.plan(groups, streams)
-    found, seen = planner.checked(groups, streams)
+    found, seen = planner.verified_plan(groups, streams)
     assert found.cost >= plain.cost
     for s in streams:
         assert seen[s.name][0] - seen[s.name][1] <= s.target
@@ -203,7 +203,7 @@
     monkeypatch.setattr(planner, "final_losses", lambda *a: {k: 0.5 * m for k, m in known(*a).items()})
     wrong = planner.plan(groups, streams)
     assert wrong.cost < plain.cost
-    mended, seen = planner.checked(groups, streams)
+    mended, seen = planner.verified_plan(groups, streams)
     assert mended.cost > wrong.cost
     assert all(seen[s.name][0] - seen[s.name][1] <= s.target for s in streams)
 
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -17,9 +17,9 @@
 
 from softswitch import cli
 from softswitch.core.timer_wheel import TimerWheel
-from softswitch.measure.record import MOST_ROUTES, OTHER, TrafficRecord
-from softswitch.measure.recordfile import FRAME, RecordFileError, Writer, encoded, read
-from softswitch.measure.recording import MOST_WAITING, Recording
+from softswitch.measure.record import MAX_ROUTES, OTHER, TrafficRecord
+from softswitch.measure.recordfile import FRAME, RecordFileError, Writer, encode_histogram, read
+from softswitch.measure.recording import MAX_PENDING_INTERVALS, Recording
 from softswitch.operator.load import OperatorFileError, parse_text
 
 
@@ -38,16 +38,16 @@
         area += gap * len(up)
         now += gap
         if what == 0:
-            r.came(now, 1, "x", redial)
+            r.attempt_received(now, 1, "x", redial)
             came += 1
         elif what == 1:
-            up.append((now, r.settled(now, 1, 2, "x", "carried", 5.0, redial)))
+            up.append((now, r.attempt_settled(now, 1, 2, "x", "carried", 5.0, redial)))
             stood += 1
         elif up:
             since, seat = up.pop(0)
-            r.over(now, seat, now - since)
+            r.call_ended(now, seat, now - since)
             ended += 1
-    r.turn(now, last=True)
+    r.roll_over(now, last=True)
     assert sum(sum(a["first"]) + sum(a["redials"]) for e in saved for a in e["arrivals"]) == came
     assert sum(o["carried"] for e in saved for o in e["routes"]) == stood
     seats = [o for e in saved for o in e["occupied"]]
@@ -63,19 +63,19 @@
 def test_routes_have_a_bound_and_what_is_over_is_booked_together():
     r, saved = record()
     seats = []
-    for n in range(3 * MOST_ROUTES):
-        r.came(1.0, n, "x", False)
-        seats.append(r.settled(2.0, n, n, "x", "carried", 1.0, False))
+    for n in range(3 * MAX_ROUTES):
+        r.attempt_received(1.0, n, "x", False)
+        seats.append(r.attempt_settled(2.0, n, n, "x", "carried", 1.0, False))
     for seat in seats:
-        r.over(3.0, seat, 1.0)
-    r.turn(1000.0)
+        r.call_ended(3.0, seat, 1.0)
+    r.roll_over(1000.0)
     (entry,) = saved
     for table, key in (("arrivals", "dest"), ("routes", "tried"), ("occupied", "cell")):
-        assert len(entry[table]) == MOST_ROUTES + 1
+        assert len(entry[table]) == MAX_ROUTES + 1
         assert entry[table][-1][key] == OTHER
-    assert entry["routes"][-1]["carried"] == 2 * MOST_ROUTES
-    assert sum(o["ended"] for o in entry["occupied"]) == 3 * MOST_ROUTES
-    r.turn(2000.0)
+    assert entry["routes"][-1]["carried"] == 2 * MAX_ROUTES
+    assert sum(o["ended"] for o in entry["occupied"]) == 3 * MAX_ROUTES
+    r.roll_over(2000.0)
     assert not saved[1]["occupied"]  # seats with nobody up are dropped
 
 
@@ -84,19 +84,19 @@
     writer, ends = Writer(path, {"name": "n0"}, 1 << 20), []
     for n in range(3):
         writer.write({"n": n})
-        ends.append(writer.at)
+        ends.append(writer.size)
     writer.close()
     data = path.read_bytes()
     for size in range(len(data) + 1):
         cut.write_bytes(data[:size])
         found = read(cut)
         assert [e["n"] for e in found.entries] == [n for n, end in enumerate(ends) if end <= size]
-        whole = found.good == size and size > 0
-        assert bool(found.cut) != whole
+        whole = found.valid_bytes == size and size > 0
+        assert bool(found.stop_reason) != whole
     for at in range(6, len(data)):  # a spoilt byte ends it there, and is told
         cut.write_bytes(data[:at] + bytes((data[at] ^ 0x40,)) + data[at + 1 :])
         found = read(cut)
-        assert found.cut
+        assert found.stop_reason
         assert [e["n"] for e in found.entries] == [n for n, end in enumerate(ends) if end <= at]
     # whole frames that have changed places are no record
     first = FRAME.unpack_from(data, ends[0])[0] + FRAME.size
@@ -108,7 +108,7 @@
     again.write({"n": 9})
     again.close()
     assert [e["n"] for e in read(cut).entries] == [0, 1, 9]
-    assert not read(cut).cut
+    assert not read(cut).stop_reason
     assert [h["name"] for h in read(cut).heads] == ["n0", "n1"]
 
 
@@ -200,7 +200,7 @@
         s.program.wait()
         known = read(file)
         assert known.entries
-        assert not known.cut
+        assert not known.stop_reason
         s.start()
         s.parties.clear()
         s.play("c8 send OPTIONS\nc8 expect 200 OK\np send SIGTERM\np expect 0")
@@ -259,13 +259,13 @@
     for n in range(30):
         r._save({"n": n})
     assert time.monotonic() - began < 2
-    assert len(r.waiting) == MOST_WAITING
+    assert len(r.pending) == MAX_PENDING_INTERVALS
     assert switch.counters["record intervals"] + switch.counters["record intervals lost"] == 30
     hangs.set()
     for thread in started:
         thread.join(10)
     assert len(wrote) == switch.counters["record intervals"]
-    assert not r.waiting
+    assert not r.pending
 
 
 def test_nothing_heavy_is_loaded_unless_asked_for():
@@ -323,6 +323,6 @@
     from softswitch.measure.record import histogram
 
     h = histogram()
-    assert encoded(h) == ""
+    assert encode_histogram(h) == ""
     h.record_value(250)
-    assert histogram(encoded(h)).get_value_at_percentile(50) == pytest.approx(250, rel=0.01)
+    assert histogram(encode_histogram(h)).get_value_at_percentile(50) == pytest.approx(250, rel=0.01)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -4,7 +4,7 @@
 from support.harness import ROOT
 
 from softswitch.measure.recordfile import read
-from softswitch.measure.streams import measured
+from softswitch.measure.streams import aggregate_streams
 from softswitch.net.peers import KIND, VERSION, Saved
 from softswitch.storage.snapshot import Snapshot
 
@@ -20,14 +20,14 @@
 
 def test_a_traffic_record():
     contents = read(DATA / "traffic-020d907.whtr")
-    assert contents.cut == ""
+    assert contents.stop_reason == ""
     assert [head["name"] for head in contents.heads] == ["n0"]
     assert len(contents.entries) == 3
-    found = measured([contents])
+    found = aggregate_streams([contents])
     assert found.seconds == 30.0
     assert found.erlangs == {0: [3.67, 6.67, 6.67], 1: [3.33, 6.67, 6.67], 2: [3.0, 6.66, 6.66]}
     assert found.peaks == {0: 6, 1: 6, 2: 6}
-    rows = [(s.dest, s.klass, s.redials, s.carried, s.blocked, s.ended) for s in found.streams]
+    rows = [(s.dest, s.call_class, s.redials, s.carried, s.blocked, s.ended) for s in found.streams]
     assert rows == [
         (0, "x", 12, 15, 14, 29),
         (0, "y", 3, 4, 4, 7),
