--- a/softswitch/dimension/loss.py
+++ b/softswitch/dimension/loss.py
@@ -1,7 +1,8 @@
-"""Blocking of one trunk group offered random (Poisson) or finite-source traffic.
+"""Blocking of one trunk group that is offered random (Poisson) or finite-source traffic.
 
-Traffic is in erlangs, circuits are a count and may be real where the docstring says so, probabilities are
-0 to 1. All functions raise `OutOfRangeError` with the argument's name on what has no answer.
+Traffic is in erlangs. The number of circuits is an integer, or a real number where the docstring says so.
+Probabilities are from 0 to 1. All functions raise `OutOfRangeError` with the name of the argument that is
+outside its range.
 """
 
 from __future__ import annotations
@@ -11,31 +12,31 @@
 
 from scipy.optimize import brentq
 
-MOST = 1e7  # circuits or erlangs; accuracy was checked up to 1e6
-STEPS = 200_000  # terms of a series or a continued fraction; at 1e6 circuits some 10,000 are needed
+MAX_LOAD = 1e7  # circuits or erlangs; the accuracy is verified up to 1e6
+MAX_TERMS = 200_000  # of a series or a continued fraction; about 10,000 are needed at 1e6 circuits
 
 
 class OutOfRangeError(ValueError):
-    """An argument for which a formula has no answer; the text names it, its value and what is allowed."""
+    """An argument is outside the range of a formula; the message has its name, its value and the range."""
 
 
-def need(
-    name: str, value: float, low: float, high: float, open_low: bool = False, open_high: bool = False
+def check_range(
+    name: str, value: float, low: float, high: float, exclude_low: bool = False, exclude_high: bool = False
 ) -> None:
-    """Checks one argument; NaN and infinity never pass."""
-    good = (
+    """Raises OutOfRangeError unless the value is in the range. NaN and infinity are always rejected."""
+    in_range = (
         isfinite(value)
-        and (value > low if open_low else value >= low)
-        and (value < high if open_high else value <= high)
+        and (value > low if exclude_low else value >= low)
+        and (value < high if exclude_high else value <= high)
     )
-    if not good:
-        span = f"{'over' if open_low else 'from'} {low:g} {'and under' if open_high else 'to'} {high:g}"
+    if not in_range:
+        span = f"{'over' if exclude_low else 'from'} {low:g} {'and under' if exclude_high else 'to'} {high:g}"
         raise OutOfRangeError(f"{name} is {value:g}; it must be {span}")
 
 
 def _stirling_error(n: float) -> float:
-    """Ln n! less Stirling's formula (C. Loader, Fast and accurate computation of binomial probabilities,
-    2000).
+    """Returns ln n! minus Stirling's formula (C. Loader, Fast and accurate computation of binomial
+    probabilities, 2000).
     """
     if n < 16:
         return lgamma(n + 1) - (n + 0.5) * log(n) + n - 0.5 * log(2 * pi)
@@ -44,7 +45,7 @@
 
 
 def _deviance(x: float, mean: float) -> float:
-    """X ln(x / mean) + mean - x, without loss of digits where the two are close (Loader, as above)."""
+    """Returns x ln(x / mean) + mean - x without cancellation for x close to the mean (Loader, as above)."""
     if abs(x - mean) >= 0.1 * (x + mean):
         return x * log(x / mean) + mean - x
     v = (x - mean) / (x + mean)
@@ -58,8 +59,9 @@
 
 
 def log_poisson(n: float, mean: float) -> float:
-    """Ln of mean^n e^-mean / Gamma(n + 1), for real n >= 0 and mean > 0; absolute error about 1e-15 times
-    the result's size (Loader's saddle-point form).
+    """Returns the logarithm of mean^n e^-mean / Gamma(n + 1) for real n >= 0 and mean > 0.
+
+    Uses Loader's saddle-point form. The absolute error is about 1e-15 times the magnitude of the result.
     """
     if n == 0:
         return -mean
@@ -69,30 +71,35 @@
 
 
 def log_erlang_b(circuits: float, erlangs: float) -> float:
-    """Natural logarithm of `erlang_b`, which does not underflow. Same arguments, errors and source."""
-    need("erlangs", erlangs, 0, MOST)
-    need("circuits", circuits, 0, MOST)
+    """Returns the natural logarithm of `erlang_b`, which does not underflow.
+
+    The arguments, the errors and the source are those of `erlang_b`.
+    """
+    check_range("erlangs", erlangs, 0, MAX_LOAD)
+    check_range("circuits", circuits, 0, MAX_LOAD)
     if erlangs == 0:
         return 0.0 if circuits == 0 else -inf
     n, a = circuits, erlangs
     if a <= n + 1:
-        # 1/B = 1/p - S: p the Poisson term, S the rising series; it loses no digits as Q(n+1, a) > 0.3 here.
+        # 1/B = 1/p - S with the Poisson term p and the increasing series S. The difference loses no digits,
+        # since Q(n+1, a) > 0.3 here.
         term = total = 1.0
         k = n
-        for _ in range(STEPS):
+        for _ in range(MAX_TERMS):
             k += 1
             term *= a / k
             total += term
             if term < 1e-17 * total:
                 break
-        point = log_poisson(n, a)
-        return point - log1p(-exp(point) * (total - 1.0))
-    # Else the continued fraction of the incomplete gamma function (DLMF 8.9.2), by Lentz: all terms positive.
+        log_p = log_poisson(n, a)
+        return log_p - log1p(-exp(log_p) * (total - 1.0))
+    # Otherwise the continued fraction of the incomplete gamma function (DLMF 8.9.2) by Lentz's method; all
+    # terms are positive.
     tiny = 1e-300
     b = a - n
     c, d = 1 / tiny, 1 / b
     h = d
-    for k in range(1, STEPS):
+    for k in range(1, MAX_TERMS):
         num = k * (n + 1 - k)
         b += 2
         d = num * d + b
@@ -106,18 +113,18 @@
 
 
 def erlang_b(circuits: float, erlangs: float) -> float:
-    """Share of Poisson calls that find all circuits busy (Erlang 1917, loss formula).
+    """Returns the fraction of Poisson calls that find all circuits busy (Erlang 1917, loss formula).
 
-    circuits: real, 0 to 1e7 (between whole numbers by the incomplete gamma function, Jagerman, BSTJ 53,
-    1974); erlangs: 0 to 1e7. Relative error under 1e-9 up to 1e6 circuits; below 1e-308 it is 0, see
-    `log_erlang_b`. Raises OutOfRangeError.
+    circuits: real, 0 to 1e7. Between integers the incomplete gamma function interpolates (Jagerman, BSTJ 53,
+    1974). erlangs: 0 to 1e7. The relative error is under 1e-9 up to 1e6 circuits. A result below 1e-308
+    underflows to 0; use `log_erlang_b` there. Raises OutOfRangeError.
     """
     return exp(log_erlang_b(circuits, erlangs))
 
 
 def erlang_b_recursion(circuits: int, erlangs: float) -> float:
-    """The textbook recursion 1/B(n) = 1 + n/A 1/B(n-1), kept as the plain alternative of the benchmark."""
-    need("erlangs", erlangs, 0, MOST, open_low=True)
+    """Returns Erlang B by the textbook recursion 1/B(n) = 1 + n/A 1/B(n-1), the baseline of the benchmark."""
+    check_range("erlangs", erlangs, 0, MAX_LOAD, exclude_low=True)
     b = 1.0
     for n in range(1, int(circuits) + 1):
         b = erlangs * b / (n + erlangs * b)
@@ -125,85 +132,93 @@
 
 
 def erlang_b_slopes(circuits: float, erlangs: float) -> tuple[float, float]:
-    """(dB/dA per erlang, dB/dN per circuit). The first is exact, B (N/A - 1 + B); the second by differences
-    of ln B with Richardson's step, relative error about 1e-7. Raises OutOfRangeError; erlangs > 0.
+    """Returns (dB/dA per erlang, dB/dN per circuit) for erlangs > 0.
+
+    dB/dA is exact, B (N/A - 1 + B). dB/dN comes from differences of ln B with Richardson extrapolation, with
+    a relative error of about 1e-7. Raises OutOfRangeError.
     """
-    need("erlangs", erlangs, 0, MOST, open_low=True)
+    check_range("erlangs", erlangs, 0, MAX_LOAD, exclude_low=True)
     b = erlang_b(circuits, erlangs)
     step = 0.01 * max(1.0, sqrt(erlangs))
     if circuits < 2 * step:
         step = max(circuits, 1e-4) / 4
-    at = max(circuits, 2 * step)
+    center = max(circuits, 2 * step)
 
     def slope(h: float) -> float:
-        return (log_erlang_b(at + h, erlangs) - log_erlang_b(at - h, erlangs)) / (2 * h)
+        return (log_erlang_b(center + h, erlangs) - log_erlang_b(center - h, erlangs)) / (2 * h)
 
     return b * ((circuits - erlangs) / erlangs + b), b * (4 * slope(step / 2) - slope(step)) / 3
 
 
-def _falls_to(f: Callable[[float], float], low: float, step: float, most: float, what: str) -> float:
-    """Where f, which falls from above nought, crosses nought: brackets by doubling, then Brent's method."""
+def find_root(f: Callable[[float], float], low: float, step: float, max_x: float, what: str) -> float:
+    """Returns the root of a decreasing function that is positive at `low`, or `low` if it is not.
+
+    The root is bracketed by doubling and then found by Brent's method.
+    """
     if f(low) <= 0:
         return low
     high = low + step
     while f(high) > 0:
-        if high >= most:
-            raise OutOfRangeError(f"{what} would have to be over {most:g}")
-        low, high = high, min(most, 2 * high + step)
+        if high >= max_x:
+            raise OutOfRangeError(f"{what} would have to be over {max_x:g}")
+        low, high = high, min(max_x, 2 * high + step)
     return float(brentq(f, low, high, xtol=1e-12 * max(1.0, high), rtol=1e-14, maxiter=200))
 
 
 def circuits_for(erlangs: float, target: float) -> float:
-    """Real circuits at which `erlang_b` is the target; `round_up` rounds it up. 0 < target < 1.
+    """Returns the real number of circuits at which `erlang_b` equals the target, 0 < target < 1.
 
-    Brent's method on ln B; relative error about 1e-11. Raises OutOfRangeError.
+    `round_up` gives the number of circuits to install. Brent's method on ln B; the relative error is about
+    1e-11. Raises OutOfRangeError.
     """
-    need("target", target, 0, 1, True, True)
-    need("erlangs", erlangs, 0, MOST)
+    check_range("target", target, 0, 1, True, True)
+    check_range("erlangs", erlangs, 0, MAX_LOAD)
     if erlangs == 0:
         return 0.0
-    goal = log(target)
+    log_target = log(target)
     start = max(0.0, erlangs * (1 - target) - 1)
-    if log_erlang_b(start, erlangs) < goal:
+    if log_erlang_b(start, erlangs) < log_target:
         start = 0.0
-    return _falls_to(lambda n: log_erlang_b(n, erlangs) - goal, start, 1 + sqrt(erlangs), MOST, "circuits")
+    return find_root(
+        lambda n: log_erlang_b(n, erlangs) - log_target, start, 1 + sqrt(erlangs), MAX_LOAD, "circuits"
+    )
 
 
 def erlangs_for(circuits: float, target: float) -> float:
-    """Traffic in erlangs at which `erlang_b` of these circuits is the target. 0 < target < 1, circuits > 0.
+    """Returns the traffic in erlangs at which `erlang_b` equals the target, 0 < target < 1 and circuits > 0.
 
-    Relative error about 1e-11. Raises OutOfRangeError.
+    The relative error is about 1e-11. Raises OutOfRangeError.
     """
-    need("target", target, 0, 1, True, True)
-    need("circuits", circuits, 0, MOST, open_low=True)
-    goal = log(target)
+    check_range("target", target, 0, 1, True, True)
+    check_range("circuits", circuits, 0, MAX_LOAD, exclude_low=True)
+    log_target = log(target)
     high = max(1.0, circuits)
-    while log_erlang_b(circuits, high) < goal:
-        if high >= MOST:
-            raise OutOfRangeError(f"erlangs would have to be over {MOST:g}")
-        high = min(2 * high, MOST)
+    while log_erlang_b(circuits, high) < log_target:
+        if high >= MAX_LOAD:
+            raise OutOfRangeError(f"erlangs would have to be over {MAX_LOAD:g}")
+        high = min(2 * high, MAX_LOAD)
     low = min(high, circuits) / 2
-    while log_erlang_b(circuits, low) > goal:
+    while log_erlang_b(circuits, low) > log_target:
         low /= 8
         if low < 1e-280:
             raise OutOfRangeError(
                 f"target is {target:g}: no traffic is small enough on {circuits:g} circuits"
             )
-    return float(brentq(lambda a: log_erlang_b(circuits, a) - goal, low, high, xtol=1e-300, rtol=1e-14))
+    return float(brentq(lambda a: log_erlang_b(circuits, a) - log_target, low, high, xtol=1e-300, rtol=1e-14))
 
 
 def round_up(circuits: float) -> int:
-    """Circuits rounded up, where a hair over a whole number (1 in 1e9) counts as that number."""
+    """Returns the circuits rounded up. A relative excess of up to 1 in 1e9 over an integer is ignored."""
     return int(-(-(circuits - 1e-9 * max(1.0, circuits)) // 1)) if circuits > 0 else 0
 
 
 def erlang_c(circuits: float, erlangs: float) -> float:
-    """Share of Poisson calls that wait where none is lost (Erlang 1917, delay formula); 1 at or over
-    capacity.
+    """Returns the fraction of Poisson calls that wait in a system without loss (Erlang 1917, delay formula).
 
-    circuits real > 0; relative error as `erlang_b`. Raises OutOfRangeError.
+    It is 1 where the traffic reaches the number of circuits, a real number > 0. The relative error is that of
+    `erlang_b`. Raises OutOfRangeError.
     """
-    need("circuits", circuits, 0, MOST, open_low=True)
+    check_range("circuits", circuits, 0, MAX_LOAD, exclude_low=True)
     b = erlang_b(circuits, erlangs)
     if erlangs >= circuits:
         return 1.0
@@ -211,19 +226,20 @@
 
 
 def erlang_a(circuits: int, erlangs: float, patience: float) -> tuple[float, float]:
-    """(share that waits, share lost) where blocked calls are held and give up after an exponential patience
-    (Palm 1937; Garnett, Mandelbaum, Reiman 2002). `patience`: its mean in holding times; 0 gives Erlang B.
+    """Returns (fraction that waits, fraction lost) where blocked calls wait and abandon after an exponential
+    patience (Palm 1937; Garnett, Mandelbaum, Reiman 2002).
 
-    This is what a softswitch makes of a group whose calls it may hold for a while. Whole circuits up to 1e5;
-    relative error about 1e-12. Raises OutOfRangeError.
+    It models a group whose blocked calls a softswitch may queue for a while. `patience` is the mean patience
+    in holding times; 0 gives Erlang B. Integer circuits up to 1e5; the relative error is about 1e-12. Raises
+    OutOfRangeError.
     """
-    need("circuits", circuits, 1, 1e5)
-    need("patience", patience, 0, 1e6)
-    need("erlangs", erlangs, 0, MOST)
+    check_range("circuits", circuits, 1, 1e5)
+    check_range("patience", patience, 0, 1e6)
+    check_range("erlangs", erlangs, 0, MAX_LOAD)
     b = erlang_b(circuits, erlangs)
     if patience == 0 or erlangs == 0:
         return b, b
-    # Weights of the states over the circuits, beside the one with all circuits busy and nobody waiting.
+    # Weights of the states with k calls waiting, relative to the state with all circuits busy and no queue.
     term, waiting, lost, k = 1.0, 1.0, 0.0, 0
     while k < 10_000_000:
         k += 1
@@ -236,44 +252,46 @@
         raise OutOfRangeError(
             f"patience is {patience:g}: too long for {erlangs:g} erlangs on {circuits} circuits"
         )
-    total = 1 / b - 1 + waiting  # 1/b: all states up to the full group, beside the full one
+    total = 1 / b - 1 + waiting  # 1/b: the states with 0 to all circuits busy, relative to the last of them
     return waiting / total, lost / total / erlangs
 
 
 def loss_with_fixed_wait(circuits: float, erlangs: float, held: float) -> float:
-    """Share lost where a call that finds no circuit is held for a fixed time, `held` holding times, takes the
-    first circuit that falls free and is lost after that (Baccelli and Hebuterne 1981, M/M/N+D; Barrer 1957).
+    """Returns the fraction lost where a blocked call waits a fixed time for a circuit and is then lost
+    (Baccelli and Hebuterne 1981, M/M/N+D; Barrer 1957).
 
-    What a softswitch makes of a group by holding calls for as long as they can still stand within their aim.
-    0 gives Erlang B. Circuits real, 1 or more; relative error about 1e-9. Raises OutOfRangeError.
+    It models a softswitch that queues blocked calls for as long as they can still meet their latency
+    objective. `held` is that wait in holding times; 0 gives Erlang B. Real circuits, 1 or more; the relative
+    error is about 1e-9. Raises OutOfRangeError.
     """
-    need("circuits", circuits, 1, MOST)
-    need("held", held, 0, 1e6)
-    need("erlangs", erlangs, 0, MOST)
+    check_range("circuits", circuits, 1, MAX_LOAD)
+    check_range("held", held, 0, 1e6)
+    check_range("erlangs", erlangs, 0, MAX_LOAD)
     if held == 0 or erlangs == 0:
         return erlang_b(circuits, erlangs)
     drift = (circuits - erlangs) * held
-    tail = exp(-drift) / circuits if drift > -700 else inf
-    if tail == inf:
-        return 1 - circuits / erlangs  # a queue that never empties: what is served is all circuits can
-    between = held if abs(drift) < 1e-12 else -expm1(-drift) / (circuits - erlangs)
-    # In units of the chance that all circuits but one are busy: no wait, a wait under `held`, one over it.
-    none = 1 / erlang_b(circuits - 1, erlangs)
-    return erlangs * tail / (none + erlangs * (between + tail))
+    full_wait = exp(-drift) / circuits if drift > -700 else inf
+    if full_wait == inf:
+        return 1 - circuits / erlangs  # the queue never empties, so that all circuits are always busy
+    short_wait = held if abs(drift) < 1e-12 else -expm1(-drift) / (circuits - erlangs)
+    # Weights relative to the state with all circuits but one busy: no wait, a wait below `held`, the full
+    # wait.
+    no_wait = 1 / erlang_b(circuits - 1, erlangs)
+    return erlangs * full_wait / (no_wait + erlangs * (short_wait + full_wait))
 
 
 def engset(circuits: int, sources: int, each: float) -> tuple[float, float]:
-    """(time congestion, call congestion) of a group with finitely many sources (Engset 1918).
+    """Returns (time congestion, call congestion) of a group with finitely many sources (Engset 1918).
 
-    each: erlangs offered by one idle source; whole circuits and sources, up to 1e6. The call congestion is
-    the time congestion that a source finds among the others. Relative error about 1e-12.
-    Raises OutOfRangeError.
+    each: erlangs offered by one idle source. Integer circuits and sources, up to 1e6. The call congestion is
+    the time congestion that a source finds among the others. The relative error is about 1e-12. Raises
+    OutOfRangeError.
     """
-    need("circuits", circuits, 0, 1e6)
-    need("sources", sources, 1, 1e7)
-    need("each", each, 0, 1e6)
+    check_range("circuits", circuits, 0, 1e6)
+    check_range("sources", sources, 1, 1e7)
+    check_range("each", each, 0, 1e6)
 
-    def time_share(s: int) -> float:
+    def time_congestion(s: int) -> float:
         if circuits > s:
             return 0.0
         e = 1.0
@@ -282,49 +300,54 @@
             e = x / (n + x)
         return e
 
-    return time_share(sources), time_share(sources - 1) if circuits else 1.0
+    return time_congestion(sources), time_congestion(sources - 1) if circuits else 1.0
 
 
 def erlang_b_redials(circuits: float, erlangs: float, again: float) -> tuple[float, float]:
-    """(blocking of one try, erlangs with redials) where a blocked call dials again with chance `again`
-    (0 to 1, not 1): the extended Erlang B formula, A' = A + again A' B(N, A').
+    """Returns (blocking of one attempt, erlangs with redials) by the extended Erlang B formula,
+    A' = A + again A' B(N, A').
 
-    It takes redials for fresh random calls, which holds while they wait several holding times and overstates
-    the blocking where they come at once. Fixed point to 1e-12 of A'. Raises OutOfRangeError.
+    A blocked call redials with probability `again`, 0 to under 1. Redials are taken as fresh random calls.
+    That holds if callers wait several holding times before they redial, and overstates the blocking if they
+    redial at once. The fixed point is found to 1e-12 of A'. Raises OutOfRangeError.
     """
-    need("again", again, 0, 1, open_high=True)
-    need("erlangs", erlangs, 0, MOST)
+    check_range("again", again, 0, 1, exclude_high=True)
+    check_range("erlangs", erlangs, 0, MAX_LOAD)
     if erlangs == 0 or again == 0:
         return erlang_b(circuits, erlangs), erlangs
 
-    def missing(total: float) -> float:
+    def imbalance(total: float) -> float:
         return total * (1 - again * erlang_b(circuits, total)) - erlangs
 
-    total = float(brentq(missing, erlangs, erlangs / (1 - again) * (1 + 1e-12), rtol=1e-13))
+    total = float(brentq(imbalance, erlangs, erlangs / (1 - again) * (1 + 1e-12), rtol=1e-13))
     return erlang_b(circuits, total), total
 
 
 def lost_after_redials(blocking: float, tries: int, again: float) -> float:
-    """Share of calls never served when each blocked try is followed by another with chance `again`, at most
-    `tries` tries in all, each blocked alike and independently. Raises OutOfRangeError.
+    """Returns the fraction of calls that are never carried, with at most `tries` attempts each.
+
+    Each attempt is blocked independently with the same probability, and a blocked attempt is followed by
+    another with probability `again`. Raises OutOfRangeError.
     """
-    need("blocking", blocking, 0, 1)
-    need("again", again, 0, 1)
-    need("tries", tries, 1, 1000)
-    lost, open_ = 0.0, 1.0
+    check_range("blocking", blocking, 0, 1)
+    check_range("again", again, 0, 1)
+    check_range("tries", tries, 1, 1000)
+    lost, pending = 0.0, 1.0
     for n in range(tries):
-        open_ *= blocking
-        stays = again if n + 1 < tries else 0.0
-        lost += open_ * (1 - stays)
-        open_ *= stays
+        pending *= blocking
+        redials = again if n + 1 < tries else 0.0
+        lost += pending * (1 - redials)
+        pending *= redials
     return lost
 
 
 def surge_peak(erlangs: float, factor: float, lasted: float) -> float:
-    """Erlangs at the end of a surge to `factor` times the traffic that lasted so many holding times: offered
-    load follows a jump exponentially (Palm 1943: mean of an infinite group). Raises OutOfRangeError.
+    """Returns the erlangs at the end of a surge to `factor` times the traffic.
+
+    `lasted` is the length of the surge in holding times. The mean load of an infinite group follows a step of
+    the call rate exponentially (Palm 1943). Raises OutOfRangeError.
     """
-    need("erlangs", erlangs, 0, MOST)
-    need("factor", factor, 0, 1e6)
-    need("lasted", lasted, 0, 1e9)
+    check_range("erlangs", erlangs, 0, MAX_LOAD)
+    check_range("factor", factor, 0, 1e6)
+    check_range("lasted", lasted, 0, 1e9)
     return erlangs * (1 + (factor - 1) * -expm1(-lasted))
--- a/softswitch/dimension/mutual.py
+++ b/softswitch/dimension/mutual.py
@@ -8,7 +8,7 @@
 from scipy.sparse import coo_matrix
 from scipy.sparse.linalg import spsolve
 
-from softswitch.dimension.loss import need
+from softswitch.dimension.loss import check_range
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,9 +26,9 @@
     sparsely; relative error about 1e-9, up to a few hundred circuits each. Raises OutOfRangeError.
     """
     for n, a, r in zip(circuits, erlangs, reserve, strict=True):
-        need("circuits", n, 1, 1000)
-        need("erlangs", a, 0, 1e5)
-        need("reserve", r, 0, n)
+        check_range("circuits", n, 1, 1000)
+        check_range("erlangs", a, 0, 1e5)
+        check_range("reserve", r, 0, n)
     n1, n2 = circuits
     wide = n2 + 1
     rows: list[int] = []
--- a/softswitch/dimension/network.py
+++ b/softswitch/dimension/network.py
@@ -1,7 +1,8 @@
-"""Trunk groups with direct and overflow routes: what blocking given circuits have, from end to end.
+"""End-to-end blocking of trunk groups with direct and overflow routes.
 
-A stream is offered to one group; a group may overflow to another, which itself does not (two stages, as in
-alternate routing with high-usage and final groups). Parcels are told by mean and variance in erlangs.
+A stream is offered to one group. A group may overflow to another group, which has no overflow itself: two
+stages, as in alternate routing with high-usage and final groups. Parcels of traffic are described by mean and
+variance in erlangs.
 """
 
 from __future__ import annotations
@@ -10,47 +11,49 @@
 from dataclasses import dataclass
 
 from softswitch.dimension import peaked_traffic, widths
-from softswitch.dimension.loss import OutOfRangeError, need
+from softswitch.dimension.loss import OutOfRangeError, check_range
 
 
 @dataclass(frozen=True, slots=True)
 class Stream:
-    """Traffic of one kind. `low` and `high` bound the estimate; 0: not known, the middle holds."""
+    """A traffic stream. `low` and `high` bound the estimate of its erlangs; 0 means the same as `erlangs`."""
 
     name: str
-    group: str  # that it is offered to first
+    group: str  # the group that it is offered to first
     erlangs: float
-    target: float  # share that may be lost from end to end
+    target: float  # max end-to-end loss, as a fraction
     peakedness: float = 1.0
     low: float = 0.0
     high: float = 0.0
 
-    def at(self, where: str) -> float:
-        """Erlangs at the `low`, `middle` or `high` end of the estimate."""
-        return {"low": self.low, "middle": self.erlangs, "high": self.high}[where] or self.erlangs
+    def erlangs_at(self, point: str) -> float:
+        """Returns the erlangs at the `low`, `middle` or `high` point of the estimate."""
+        return {"low": self.low, "middle": self.erlangs, "high": self.high}[point] or self.erlangs
 
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """A trunk group as it may be bought: whole modules up to `most` of them. `circuits` are there already and
-    cost nothing; `reserve` of its circuits are kept for calls offered to it first.
+    """A trunk group that can be extended by up to `max_modules` modules.
+
+    `circuits` are installed already and cost nothing. `reserve` circuits are reserved for calls that are
+    offered to this group first.
     """
 
     name: str
-    module: int = 1
+    module: int = 1  # circuits of one module
     price: float = 1.0  # of one module
-    most: int = 100  # modules
+    max_modules: int = 100
     overflow: str = ""
     reserve: int = 0
     circuits: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
-    """What one group meets."""
+class GroupLoad:
+    """Traffic and blocking of one group."""
 
     circuits: int
-    offered: float  # erlangs, overflow of others in it
+    offered: float  # erlangs, with the overflow of other groups
     peakedness: float
     blocking: float
     carried: float
@@ -58,25 +61,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """What given circuits do: loss from end to end by stream, and the load of each group."""
+    """End-to-end loss by stream and load by group, for given circuits."""
 
-    lost: dict[str, float]  # share of the stream's calls
-    loads: dict[str, Load]
+    lost: dict[str, float]  # fraction of the calls of the stream
+    loads: dict[str, GroupLoad]
 
     def missed(self, streams: Sequence[Stream], slack: float = 1e-9) -> list[str]:
-        """Streams whose target is not met."""
+        """Returns the names of the streams whose target is not met."""
         return [s.name for s in streams if self.lost[s.name] > s.target * (1 + slack)]
 
 
-SPLIT = 0.8  # how far a parcel loses by its variance, against its mean: chosen by benchmarks/planning.py
+# Weight of the variance against the mean where lost traffic is divided among parcels; chosen by
+# benchmarks/planning.py.
+VARIANCE_WEIGHT = 0.8
 
 Parcel = tuple[str, float, float]  # stream, mean, variance
 
 
 def check(groups: Sequence[Group], streams: Sequence[Stream]) -> None:
-    """OutOfRangeError with the name of what can't be: unknown or doubled names, routes of three stages,
-    figures.
-    """
+    """Raises OutOfRangeError for unknown or duplicate names, routes of three stages, and invalid values."""
     by_name = {g.name: g for g in groups}
     if (
         not groups
@@ -91,27 +94,28 @@
                 f"group {g.name}: overflow is {g.overflow!r}; it must name another group that has "
                 "no overflow itself"
             )
-        need(f"group {g.name}: module", g.module, 1, 100_000)
-        need(f"group {g.name}: price", g.price, 0, 1e12)
-        need(f"group {g.name}: most", g.most, 0, 100_000)
-        need(f"group {g.name}: reserve", g.reserve, 0, 100_000)
-        need(f"group {g.name}: circuits", g.circuits, 0, 1_000_000)
+        check_range(f"group {g.name}: module", g.module, 1, 100_000)
+        check_range(f"group {g.name}: price", g.price, 0, 1e12)
+        check_range(f"group {g.name}: most", g.max_modules, 0, 100_000)
+        check_range(f"group {g.name}: reserve", g.reserve, 0, 100_000)
+        check_range(f"group {g.name}: circuits", g.circuits, 0, 1_000_000)
     for s in streams:
         if s.group not in by_name:
-            raise OutOfRangeError(f"stream {s.name}: group is {s.group!r}, and there is none of that name")
-        need(f"stream {s.name}: erlangs", s.erlangs, 0, 1e6, open_low=True)
-        need(f"stream {s.name}: target", s.target, 0, 1, True, True)
-        need(f"stream {s.name}: peakedness", s.peakedness, 1, 100)
+            raise OutOfRangeError(f"stream {s.name}: group is {s.group!r}, which does not exist")
+        check_range(f"stream {s.name}: erlangs", s.erlangs, 0, 1e6, exclude_low=True)
+        check_range(f"stream {s.name}: target", s.target, 0, 1, True, True)
+        check_range(f"stream {s.name}: peakedness", s.peakedness, 1, 100)
         for name in ("low", "high"):
-            need(f"stream {s.name}: {name}", getattr(s, name), 0, 1e6)
+            check_range(f"stream {s.name}: {name}", getattr(s, name), 0, 1e6)
 
 
-def overflowing(circuits: int, parcels: Sequence[Parcel]) -> tuple[list[Parcel], float, float]:
-    """(what each parcel overflows, blocking of all, mean offered). The joint overflow is Wilkinson's.
+def split_overflow(circuits: int, parcels: Sequence[Parcel]) -> tuple[list[Parcel], float, float]:
+    """Returns (overflow of each parcel, joint blocking, mean offered).
 
-    A parcel has of the lost traffic its share of the variance offered (the peakier finds the group full more
-    often; Wilkinson 1956) for four parts in five and its share of the mean for the fifth, as Katz (ITC 1967)
-    mixes both; and of the overflow's variance its share of the lost traffic.
+    The joint overflow is by Wilkinson's method. Four fifths of the lost traffic are divided among the parcels
+    in proportion to their variance, since a peakier parcel finds the group full more often (Wilkinson 1956),
+    and one fifth in proportion to their mean. Katz (ITC 1967) combines both in this way. The variance of the
+    overflow is divided in proportion to the lost traffic.
     """
     mean, variance = peaked_traffic.combine(*((m, v) for _, m, v in parcels))
     if mean <= 0:
@@ -119,75 +123,89 @@
     if circuits <= 0:
         return list(parcels), 1.0, mean
     a, n = peaked_traffic.equivalent_random(mean, max(mean, variance))
-    over, over_variance = peaked_traffic.overflow(n + circuits, a)
-    lost = [min(m, over * (SPLIT * v / variance + (1 - SPLIT) * m / mean)) for _, m, v in parcels]
+    overflow, overflow_variance = peaked_traffic.overflow(n + circuits, a)
+    lost = [
+        min(m, overflow * (VARIANCE_WEIGHT * v / variance + (1 - VARIANCE_WEIGHT) * m / mean))
+        for _, m, v in parcels
+    ]
     total = sum(lost)
-    shares = [x / total if total > 0 else 0.0 for x in lost]
+    fractions = [x / total if total > 0 else 0.0 for x in lost]
     return (
         [
-            (name, x, over_variance * part)
-            for (name, _, _), x, part in zip(parcels, lost, shares, strict=True)
+            (name, x, overflow_variance * fraction)
+            for (name, _, _), x, fraction in zip(parcels, lost, fractions, strict=True)
         ],
-        over / mean,
+        overflow / mean,
         mean,
     )
 
 
 def final_losses(
-    circuits: int, reserve: int, first: Sequence[Parcel], rest: Sequence[Parcel]
+    circuits: int, reserve: int, direct: Sequence[Parcel], overflow: Sequence[Parcel]
 ) -> dict[str, float]:
-    """Erlangs lost by each stream on a final group: `first` are offered to it, `rest` overflow to it."""
-    if reserve <= 0 or not rest or circuits <= reserve:
-        lost, _, _ = overflowing(circuits, [*first, *rest])
+    """Returns the erlangs that each stream loses on a final group.
+
+    The `direct` parcels are offered to the group first, the `overflow` parcels come from other groups.
+    """
+    if reserve <= 0 or not overflow or circuits <= reserve:
+        lost, _, _ = split_overflow(circuits, [*direct, *overflow])
         return {name: m for name, m, _ in lost}
     own, other = (
-        peaked_traffic.combine(*((m, v) for _, m, v in part)) if part else (0.0, 0.0)
-        for part in (first, rest)
+        peaked_traffic.combine(*((m, v) for _, m, v in parcels)) if parcels else (0.0, 0.0)
+        for parcels in (direct, overflow)
     )
-    # The first-routed may be peaky too; the joint peakedness rules both.
-    of_first, of_rest = widths.overflow_with_reserve(
+    # The direct traffic may be peaky too. Its excess variance is added to that of the overflow, since the
+    # joint peakedness determines the blocking of both.
+    direct_blocking, overflow_blocking = widths.overflow_with_reserve(
         circuits, own[0], (other[0], other[1] + max(0.0, own[1] - own[0])), reserve
     )
-    return {**{name: m * of_first for name, m, _ in first}, **{name: m * of_rest for name, m, _ in rest}}
+    return {
+        **{name: m * direct_blocking for name, m, _ in direct},
+        **{name: m * overflow_blocking for name, m, _ in overflow},
+    }
 
 
-def service(
+def compute_service(
     groups: Sequence[Group],
     streams: Sequence[Stream],
     circuits: Mapping[str, int],
-    where: str = "middle",
+    point: str = "middle",
     factor: float = 1.0,
 ) -> Service:
-    """End-to-end loss with these circuits by group name; traffic at one end of its estimate, times a factor.
+    """Returns the end-to-end loss with the given circuits by group name.
 
-    Errors against simulation on drawn networks are in docs/design/trunk-dimensioning.md.
-    Raises OutOfRangeError.
+    The traffic is taken at one point of its estimate and multiplied by the factor. Errors against simulation
+    on random networks are in docs/design/trunk-dimensioning.md. Raises OutOfRangeError.
     """
     check(groups, streams)
-    need("factor", factor, 0, 1e6)
-    offered = {s.name: s.at(where) * factor for s in streams}
+    check_range("factor", factor, 0, 1e6)
+    offered = {s.name: s.erlangs_at(point) * factor for s in streams}
     parcels: dict[str, list[Parcel]] = {g.name: [] for g in groups}
     for s in streams:
         if offered[s.name] > 0:
             parcels[s.group].append((s.name, offered[s.name], offered[s.name] * s.peakedness))
-    spilt: dict[str, list[Parcel]] = {g.name: [] for g in groups}
+    overflowed: dict[str, list[Parcel]] = {g.name: [] for g in groups}
     lost: dict[str, float] = {s.name: 0.0 for s in streams}
-    loads: dict[str, Load] = {}
-    for g in sorted(groups, key=lambda g: not g.overflow):  # those that overflow come first
+    loads: dict[str, GroupLoad] = {}
+    for g in sorted(groups, key=lambda g: not g.overflow):  # groups with an overflow first
         n = circuits.get(g.name, 0)
-        everything = parcels[g.name] + spilt[g.name]
+        offered_parcels = parcels[g.name] + overflowed[g.name]
         mean, variance = (
-            peaked_traffic.combine(*((m, v) for _, m, v in everything)) if everything else (0.0, 0.0)
+            peaked_traffic.combine(*((m, v) for _, m, v in offered_parcels))
+            if offered_parcels
+            else (0.0, 0.0)
         )
         if g.overflow:
-            over, share, _ = overflowing(n, everything)
-            spilt[g.overflow] += [p for p in over if p[1] > 0]
+            overflow, blocking, _ = split_overflow(n, offered_parcels)
+            overflowed[g.overflow] += [p for p in overflow if p[1] > 0]
         else:
-            gone = final_losses(n, g.reserve, parcels[g.name], spilt[g.name])
-            for name, m in gone.items():
+            lost_here = final_losses(n, g.reserve, parcels[g.name], overflowed[g.name])
+            for name, m in lost_here.items():
                 lost[name] += m
-            share = sum(gone.values()) / mean if mean > 0 else 0.0
-        loads[g.name] = Load(n, mean, variance / mean if mean > 0 else 1.0, share, mean * (1 - share))
+            blocking = sum(lost_here.values()) / mean if mean > 0 else 0.0
+        loads[g.name] = GroupLoad(
+            n, mean, variance / mean if mean > 0 else 1.0, blocking, mean * (1 - blocking)
+        )
     return Service(
         {name: min(1.0, x / offered[name]) if offered[name] > 0 else 0.0 for name, x in lost.items()}, loads
     )
--- a/softswitch/dimension/peaked_traffic.py
+++ b/softswitch/dimension/peaked_traffic.py
@@ -16,7 +16,7 @@
 from scipy.sparse.linalg import spsolve
 from scipy.special import roots_genlaguerre
 
-from softswitch.dimension.loss import MOST, OutOfRangeError, _falls_to, erlang_b, need
+from softswitch.dimension.loss import MAX_LOAD, OutOfRangeError, check_range, erlang_b, find_root
 
 MOST_Z, LEAST_Z = 100.0, 0.01
 
@@ -43,9 +43,9 @@
 
     Peakedness 1 to 100; mean > 0. Raises OutOfRangeError.
     """
-    need("mean", mean, 0, MOST, open_low=True)
+    check_range("mean", mean, 0, MAX_LOAD, exclude_low=True)
     z = variance / mean
-    need("peakedness", z, 1, MOST_Z)
+    check_range("peakedness", z, 1, MOST_Z)
     if z < 1 + 1e-9:
         return mean, 0.0
 
@@ -76,8 +76,8 @@
         low = max(least, low / 1.5)
     while too_much(high) > 0:
         high *= 1.5
-        if high > MOST:
-            raise OutOfRangeError(f"peakedness is {z:g}: no group under {MOST:g} erlangs overflows so")
+        if high > MAX_LOAD:
+            raise OutOfRangeError(f"peakedness is {z:g}: no group under {MAX_LOAD:g} erlangs overflows so")
     if too_much(low) <= 0:
         return low, max(0.0, circuits_of(low))
     a = float(brentq(too_much, low, high, rtol=1e-13))
@@ -99,7 +99,7 @@
     of 2 on 6 circuits); a quarter at most where the mean is ten times Z or more and blocking 0.5 to 20%.
     Raises OutOfRangeError.
     """
-    need("peakedness", peakedness, LEAST_Z, MOST_Z)
+    check_range("peakedness", peakedness, LEAST_Z, MOST_Z)
     return erlang_b(circuits / peakedness, erlangs / peakedness)
 
 
@@ -110,9 +110,9 @@
     Exact for Z = 1 and for finite sources, A/(1 - Z) of them; where that is no whole number the rate is cut
     at nought. Whole circuits up to 1e6; relative error about 1e-11. Raises OutOfRangeError.
     """
-    need("circuits", circuits, 0, 1e6)
-    need("erlangs", erlangs, 0, MOST, open_low=True)
-    need("peakedness", peakedness, LEAST_Z, MOST_Z)
+    check_range("circuits", circuits, 0, 1e6)
+    check_range("erlangs", erlangs, 0, MAX_LOAD, exclude_low=True)
+    check_range("peakedness", peakedness, LEAST_Z, MOST_Z)
     a, b = erlangs / peakedness, 1 - 1 / peakedness
     n = np.arange(circuits + 1)
     rates = np.maximum(0.0, a + b * n)
@@ -131,7 +131,7 @@
     and under it the traffic congestion of Bernoulli traffic (between whole circuits, interpolated in its
     logarithm). Raises OutOfRangeError.
     """
-    need("peakedness", peakedness, LEAST_Z, MOST_Z)
+    check_range("peakedness", peakedness, LEAST_Z, MOST_Z)
     if erlangs == 0 or peakedness == 1:
         return erlang_b(circuits, erlangs)
     if peakedness > 1:
@@ -148,13 +148,17 @@
 
 def circuits_for(erlangs: float, target: float, peakedness: float = 1.0) -> float:
     """Real circuits at which `blocking` is the target (0 < target < 1). Raises OutOfRangeError."""
-    need("target", target, 0, 1, True, True)
-    need("erlangs", erlangs, 0, MOST)
-    need("peakedness", peakedness, LEAST_Z, MOST_Z)
+    check_range("target", target, 0, 1, True, True)
+    check_range("erlangs", erlangs, 0, MAX_LOAD)
+    check_range("peakedness", peakedness, LEAST_Z, MOST_Z)
     if erlangs == 0:
         return 0.0
-    return _falls_to(
-        lambda n: blocking(n, erlangs, peakedness) - target, 0.0, erlangs + sqrt(erlangs), MOST, "circuits"
+    return find_root(
+        lambda n: blocking(n, erlangs, peakedness) - target,
+        0.0,
+        erlangs + sqrt(erlangs),
+        MAX_LOAD,
+        "circuits",
     )
 
 
@@ -165,8 +169,8 @@
     64 Gauss-Laguerre points; relative error under 1e-4 for a coefficient of variation up to 0.7 (checked
     against adaptive quadrature). Raises OutOfRangeError.
     """
-    need("variance", variance, 0, MOST * MOST)
-    need("mean", mean, 0, MOST, open_low=True)
+    check_range("variance", variance, 0, MAX_LOAD * MAX_LOAD)
+    check_range("mean", mean, 0, MAX_LOAD, exclude_low=True)
     if variance == 0:
         return blocking(circuits, mean, peakedness)
     shape, scale = mean * mean / variance, variance / mean
@@ -192,9 +196,9 @@
     The model of a surge that comes and goes: on seldom and long against a holding time is peaky. `mean` is
     the mean traffic in erlangs. Exact for exponential holding times. Raises OutOfRangeError.
     """
-    need("mean", mean, 0, MOST, open_low=True)
-    need("on", on, 0, 1e9, open_low=True)
-    need("off", off, 0, 1e9)
+    check_range("mean", mean, 0, MAX_LOAD, exclude_low=True)
+    check_range("on", on, 0, 1e9, exclude_low=True)
+    check_range("off", off, 0, 1e9)
     rate = mean * (on + off) / on
     if off == 0:
         return rate, 1.0
@@ -209,7 +213,7 @@
     random method, which knows two moments, this knows how long a surge lasts: the two may differ by half.
     Raises OutOfRangeError over 20,000 circuits.
     """
-    need("circuits", circuits, 0, 20_000)
+    check_range("circuits", circuits, 0, 20_000)
     rate, _ = interrupted_poisson(erlangs, on, off)
     if off == 0:
         b = erlang_b(circuits, erlangs)
--- a/softswitch/dimension/simulate.py
+++ b/softswitch/dimension/simulate.py
@@ -14,7 +14,7 @@
 
 import numpy as np
 
-from softswitch.dimension.loss import OutOfRangeError, need
+from softswitch.dimension.loss import OutOfRangeError, check_range
 import itertools
 
 
@@ -76,7 +76,7 @@
 
 def arrivals(random: np.random.Generator, demand: Demand, until: float) -> np.ndarray:
     """Sorted times of the demand's first tries in [0, until), shape (calls,)."""
-    need("erlangs", demand.erlangs, 0, 1e7)
+    check_range("erlangs", demand.erlangs, 0, 1e7)
     rate = demand.erlangs / demand.hold
     phases = [(0.0, until)]
     if demand.on != inf:
@@ -125,7 +125,7 @@
         if unknown or not d.route:
             raise OutOfRangeError(f"demand {d.name}: its route names {', '.join(unknown) or 'no group'}")
         routes.append([by_name[name] for name in d.route])
-    need("seconds", seconds, 0, 1e12, open_low=True)
+    check_range("seconds", seconds, 0, 1e12, exclude_low=True)
     until = warm + seconds
     seeds = np.random.SeedSequence(seed).spawn(2 * len(demands))
     events: list[tuple[float, int, int, int, float]] = []  # time, kind, demand, group or try, began
--- a/softswitch/dimension/widths.py
+++ b/softswitch/dimension/widths.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from softswitch.dimension.loss import OutOfRangeError, need
+from softswitch.dimension.loss import OutOfRangeError, check_range
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,11 +22,11 @@
 
 
 def _checked(circuits: int, streams: Sequence[Stream]) -> None:
-    need("circuits", circuits, 0, 1e6)
+    check_range("circuits", circuits, 0, 1e6)
     for s in streams:
-        need("erlangs", s.erlangs, 0, 1e7)
-        need("width", s.width, 1, 1e4)
-        need("reserve", s.reserve, 0, 1e6)
+        check_range("erlangs", s.erlangs, 0, 1e7)
+        check_range("width", s.width, 1, 1e4)
+        check_range("reserve", s.reserve, 0, 1e6)
     if not streams:
         raise OutOfRangeError("no stream is given; at least one is needed")
 
@@ -66,7 +66,7 @@
     """Fewest circuits at which each stream's blocking is at or under its target. Raises OutOfRangeError."""
     _checked(0, streams)
     for t in targets:
-        need("target", t, 0, 1, True, True)
+        check_range("target", t, 0, 1, True, True)
 
     def good(n: int) -> bool:
         return all(b <= t for b, t in zip(blocking(n, streams), targets, strict=True))
@@ -95,9 +95,9 @@
     simulation (docs/design/trunk-dimensioning.md). Raises OutOfRangeError.
     """
     mean, variance = overflow
-    need("first", first, 0, 1e7)
-    need("mean", mean, 0, 1e7)
-    need("reserve", reserve, 0, max(0, circuits))
+    check_range("first", first, 0, 1e7)
+    check_range("mean", mean, 0, 1e7)
+    check_range("reserve", reserve, 0, max(0, circuits))
     total = first + mean
     if total <= 0:
         return 0.0, 0.0
