--- a/softswitch/dimension/report.py
+++ b/softswitch/dimension/report.py
@@ -1,4 +1,4 @@
-"""What an estimate or a plan means for circuits: figures over the whole interval, and plain sentences."""
+"""Required circuits over the interval of an estimate, and notes for the user."""
 
 from __future__ import annotations
 
@@ -13,38 +13,44 @@
 
 @dataclass(frozen=True, slots=True)
 class CircuitRange:
-    """Circuits for a target, over the interval of the traffic and the peakedness."""
+    """Required circuits at the low end, the middle and the high end of the interval of the traffic."""
 
     low: int
     middle: int
     high: int
-    erlang_b: int  # by Erlang B at the middle, as if the traffic were random
+    erlang_b: int  # at the middle, by Erlang B, which assumes random traffic
 
 
 def required_circuits(found: Estimate, target: float) -> CircuitRange:
-    """Circuits that the target needs at the low end, the middle and the high end. Peakedness goes by its
-    middle where the counts did not pass for random calls, and is 1 where they did. Raises OutOfRangeError.
+    """Returns the circuits that the target needs at the low end, the middle and the high end.
+
+    The peakedness is 1 if the counts are consistent with random calls, and otherwise its estimate, but at
+    least 1. Raises OutOfRangeError.
     """
     z = 1.0 if found.method == "random" else max(1.0, found.peakedness.value)
-    at = [
+    needed = [
         loss.round_up(peaked_traffic.circuits_for(x, target, z))
         for x in (found.erlangs.low, found.erlangs.value, found.erlangs.high)
     ]
-    return CircuitRange(at[0], at[1], at[2], loss.round_up(loss.circuits_for(found.erlangs.value, target)))
+    return CircuitRange(
+        needed[0], needed[1], needed[2], loss.round_up(loss.circuits_for(found.erlangs.value, target))
+    )
 
 
 def estimate_busiest(
     sample: Sample, level: float = 0.95, precision: float = 0.05
 ) -> tuple[Estimate, Estimate]:
-    """(estimate to go by, estimate of the whole). Where the traffic did not stand still, the first is that of
-    the busiest stretch and not of the average, which would be true of no time at all. Raises OutOfRangeError.
+    """Returns (estimate for dimensioning, estimate of the complete sample).
+
+    If the traffic is not stationary, the first estimate is of the busiest segment. The average over all
+    segments would describe no period. Raises OutOfRangeError.
     """
-    whole = estimate(sample, level, precision)
-    if whole.steady:
-        return whole, whole
-    busiest = max(whole.segments, key=lambda s: s.rate)
+    complete = estimate(sample, level, precision)
+    if complete.steady:
+        return complete, complete
+    busiest = max(complete.segments, key=lambda s: s.rate)
     low, high = round(busiest.start / sample.slot), round(busiest.end / sample.slot)
-    part = Sample(
+    busiest_sample = Sample(
         sample.slot,
         np.asarray(sample.first_attempts[low:high]),
         sample.call_seconds,
@@ -54,34 +60,34 @@
         sample.blocked,
     )
     try:
-        return estimate(part, level, precision), whole
+        return estimate(busiest_sample, level, precision), complete
     except OutOfRangeError:
-        return whole, whole
+        return complete, complete
 
 
-def notes(name: str, found: Estimate, whole: Estimate, precision: float) -> list[str]:
-    """What must be said beside the figure."""
-    said = []
+def notes(name: str, found: Estimate, complete: Estimate, precision: float) -> list[str]:
+    """Returns the remarks on the accuracy of an estimate that belong beside its figures."""
+    remarks = []
     if found.more_seconds > 0:
-        said.append(
+        remarks.append(
             f"{name}: known to ±{100 * found.erlangs.half_width:.0f}% only; for ±{100 * precision:.0f}% "
-            f"measure {_long(found.more_seconds)} longer"
+            f"measure {_duration(found.more_seconds)} longer"
         )
-    if not whole.steady:
-        parts = ", ".join(f"{s.rate:.3g}/s from {s.start:.0f} to {s.end:.0f} s" for s in whole.segments)
-        said.append(
-            f"{name}: the traffic did not stand still ({parts}); the figures are of the busiest stretch"
+    if not complete.steady:
+        segments = ", ".join(f"{s.rate:.3g}/s from {s.start:.0f} to {s.end:.0f} s" for s in complete.segments)
+        remarks.append(
+            f"{name}: the traffic did not stand still ({segments}); the figures are of the busiest stretch"
         )
     if found.method == "batches" and found.peakedness.low > 1:
-        said.append(f"{name}: peaky, Z {found.peakedness.value:.2f}; plain Erlang B understates the need")
-    if whole.redial_share > 0.02:
-        said.append(
-            f"{name}: {100 * whole.redial_share:.0f}% of all tries were redials, and are not counted in"
+        remarks.append(f"{name}: peaky, Z {found.peakedness.value:.2f}; plain Erlang B understates the need")
+    if complete.redial_share > 0.02:
+        remarks.append(
+            f"{name}: {100 * complete.redial_share:.0f}% of all tries were redials, and are not counted in"
         )
-    return said
+    return remarks
 
 
-def _long(seconds: float) -> str:
+def _duration(seconds: float) -> str:
     return (
         f"{seconds:.0f} s"
         if seconds < 120
