--- a/softswitch/measure/record.py
+++ b/softswitch/measure/record.py
@@ -13,9 +13,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-MAX_ROUTES = 64  # of arrivals, of outcomes and of occupancy, each; what is over is booked under OTHER
-OTHER = -2  # the cell of what found no room; -1: no cell was named, or none took the call
-LONGEST_MS, DIGITS = 3_600_000, 2  # histograms: 1 ms to an hour, two significant digits
+MAX_ROUTES = 64  # keys of each table (arrivals, outcomes, occupancy); further keys are counted under OTHER
+OTHER = -2  # the cell of further keys; -1 means that no cell was requested, or that none accepted the call
+MAX_MS, DIGITS = 3_600_000, 2  # histograms: 1 ms to an hour, two significant digits
 
 OUTCOMES = (
     "carried",
@@ -30,61 +30,62 @@
 
 
 def histogram(encoded: str | None = None) -> HdrHistogram:
-    """An empty histogram of durations in ms, or the one that was encoded."""
+    """Returns an empty histogram of durations in ms, or decodes an encoded one."""
     if encoded:
         return HdrHistogram.decode(encoded)
-    return HdrHistogram(1, LONGEST_MS, DIGITS)
+    return HdrHistogram(1, MAX_MS, DIGITS)
 
 
 @dataclass(slots=True)
 class Arrivals:
-    """Set-ups of one destination and class, by slot: first tries and redials."""
+    """Call setups of one destination and class by slot: first attempts and redials."""
 
-    first: list[int]
+    first_attempts: list[int]
     redials: list[int]
 
 
 @dataclass(slots=True)
 class Outcomes:
-    """What became of set-ups of one route (cell tried first, cell that took it) and class."""
+    """Outcomes of the call setups of one class and one route: first cell tried, and cell that accepted."""
 
     counts: dict[str, int] = field(default_factory=lambda: dict.fromkeys(OUTCOMES, 0))
     redials_carried: int = 0
-    lost_ms: float = 0.0  # that set-ups waited which did not stand, together
-    delay: HdrHistogram = field(default_factory=histogram)  # ms from set-up to standing
+    lost_ms: float = 0.0  # total time that failed call setups waited for their answer
+    delay: HdrHistogram = field(default_factory=histogram)  # ms from setup to establishment
 
 
 @dataclass(slots=True)
 class Occupancy:
-    """Calls that stand at one cell, of one class."""
+    """Established calls of one class at one cell."""
 
-    up: int = 0
-    integral: float = 0.0  # call-milliseconds up to `at`
-    at: float = 0.0
+    active: int = 0
+    call_ms: float = 0.0  # time integral of `active` up to `updated_at`
+    updated_at: float = 0.0
     peak: int = 0
     ended: int = 0
-    held: HdrHistogram = field(default_factory=histogram)  # ms that ended calls stood
-    held_sum: float = 0.0
-    held_squares: float = 0.0  # of seconds
+    durations: HdrHistogram = field(default_factory=histogram)  # ms, of ended calls
+    duration_sum: float = 0.0  # ms
+    duration_squares: float = 0.0  # sum of the squared durations in seconds
 
-    def turn(self, now: float, by: int) -> None:
-        """Counts the calls under way up or down, and the time at the count before."""
-        self.integral += self.up * (now - self.at)
-        self.at, self.up = now, max(0, self.up + by)
-        if self.up > self.peak:
-            self.peak = self.up
+    def add(self, now: float, change: int) -> None:
+        """Changes the number of active calls, and integrates the previous number up to now."""
+        self.call_ms += self.active * (now - self.updated_at)
+        self.updated_at, self.active = now, max(0, self.active + change)
+        if self.active > self.peak:
+            self.peak = self.active
 
-    def renew(self, now: float) -> None:
-        """Begins an interval with the calls that are up."""
-        self.integral, self.at, self.peak, self.ended = 0.0, now, self.up, 0
-        self.held, self.held_sum, self.held_squares = histogram(), 0.0, 0.0
+    def start_interval(self, now: float) -> None:
+        """Starts an interval with the calls that are active."""
+        self.call_ms, self.updated_at, self.peak, self.ended = 0.0, now, self.active, 0
+        self.durations, self.duration_sum, self.duration_squares = histogram(), 0.0, 0.0
 
 
 class TrafficRecord:
-    """The interval under way. `save` gets each finished one as a plain dict, ready for the file.
+    """Counts the traffic of the current interval.
 
-    clock: turns a time of the wheel into Unix milliseconds. Intervals begin at whole multiples of their
-    length on that clock, so that those of several softswitches lie side by side.
+    save: receives each finished interval as a dict for the file.
+    clock: converts a time of the timer wheel to Unix milliseconds. Intervals start at integer multiples of
+    their length on that clock, so that the intervals of several softswitches coincide.
     """
 
     def __init__(
@@ -97,126 +98,133 @@
     ) -> None:
         self.interval, self.slot, self.clock, self.save = interval, slot, clock, save
         self.slots = round(interval / slot)
-        self.since = now
-        self.until = now + interval - clock(now) % interval
+        self.started_at = now
+        self.ends_at = now + interval - clock(now) % interval
         self.occupied: dict[tuple[int, str], Occupancy] = {}
-        self._begin()
+        self._clear()
 
-    def _begin(self) -> None:
+    def _clear(self) -> None:
         self.arrivals: dict[tuple[int, str], Arrivals] = {}
         self.routes: dict[tuple[int, int, str], Outcomes] = {}
 
-    # from the switch
+    # calls from the switch
 
-    def attempt_received(self, now: float, dest: int, klass: str, redial: bool) -> None:
-        """A call has arrived; `now` in ms, `dest` its destination's number, `klass` its class."""
-        if now >= self.until:
+    def attempt_received(self, now: float, dest: int, call_class: str, redial: bool) -> None:
+        """Counts the arrival of a call setup; `now` is in ms, `dest` the number of the destination cell."""
+        if now >= self.ends_at:
             self.roll_over(now)
-        seen = self.arrivals.get((dest, klass))
-        if seen is None:
-            seen = self._room(self.arrivals, (dest, klass), (OTHER, "other"), self._no_arrivals)
-        n = min(self.slots - 1, int((now - (self.until - self.interval)) / self.slot))
-        (seen.redials if redial else seen.first)[n] += 1
+        arrivals = self.arrivals.get((dest, call_class))
+        if arrivals is None:
+            arrivals = self._entry(self.arrivals, (dest, call_class), (OTHER, "other"), self._no_arrivals)
+        n = min(self.slots - 1, int((now - (self.ends_at - self.interval)) / self.slot))
+        (arrivals.redials if redial else arrivals.first_attempts)[n] += 1
 
     def attempt_settled(
-        self, now: float, tried: int, took: int, klass: str, outcome: str, delay: float, redial: bool
+        self, now: float, tried: int, took: int, call_class: str, outcome: str, delay: float, redial: bool
     ) -> Occupancy | None:
-        """A set-up has its answer, or was given up. `took` is -1 where it does not stand; where it does, its
-        seat comes back, which `call_ended` expects.
+        """Counts the outcome of a call setup after `delay` ms.
+
+        `tried` is the first cell tried, `took` the cell that accepted the call, or -1. Returns the occupancy
+        to pass to `call_ended` if the call is established, else None.
         """
-        if now >= self.until:
+        if now >= self.ends_at:
             self.roll_over(now)
-        key = (tried, took, klass)
-        seen = self.routes.get(key)
-        if seen is None:
-            seen = self._room(self.routes, key, (OTHER, OTHER if took >= 0 else -1, "other"), Outcomes)
-        seen.counts[outcome] += 1
+        key = (tried, took, call_class)
+        outcomes = self.routes.get(key)
+        if outcomes is None:
+            outcomes = self._entry(self.routes, key, (OTHER, OTHER if took >= 0 else -1, "other"), Outcomes)
+        outcomes.counts[outcome] += 1
         if outcome not in ("carried", "late"):
-            seen.lost_ms += delay
+            outcomes.lost_ms += delay
             return None
-        seen.redials_carried += redial
-        seen.delay.record_value(min(LONGEST_MS, max(1, int(delay))))
-        seat = self.occupied.get((took, klass))
-        if seat is None:
-            seat = self._room(self.occupied, (took, klass), (OTHER, "other"), lambda: Occupancy(at=now))
-        seat.turn(now, 1)
-        return seat
-
-    def call_ended(self, now: float, seen: Occupancy, held: float) -> None:
-        """The call of this seat has ended after `held` ms."""
-        if now >= self.until:
+        outcomes.redials_carried += redial
+        outcomes.delay.record_value(min(MAX_MS, max(1, int(delay))))
+        occupancy = self.occupied.get((took, call_class))
+        if occupancy is None:
+            occupancy = self._entry(
+                self.occupied, (took, call_class), (OTHER, "other"), lambda: Occupancy(updated_at=now)
+            )
+        occupancy.add(now, 1)
+        return occupancy
+
+    def call_ended(self, now: float, occupancy: Occupancy, duration: float) -> None:
+        """Counts the end of an established call after `duration` ms."""
+        if now >= self.ends_at:
             self.roll_over(now)
-        seen.turn(now, -1)
-        seen.ended += 1
-        seen.held_sum += held
-        seen.held_squares += (held / 1000) ** 2
-        seen.held.record_value(min(LONGEST_MS, max(1, int(held))))
+        occupancy.add(now, -1)
+        occupancy.ended += 1
+        occupancy.duration_sum += duration
+        occupancy.duration_squares += (duration / 1000) ** 2
+        occupancy.durations.record_value(min(MAX_MS, max(1, int(duration))))
 
-    # bookkeeping
+    # intervals and tables
 
     def _no_arrivals(self) -> Arrivals:
         return Arrivals([0] * self.slots, [0] * self.slots)
 
     @staticmethod
-    def _room(table: dict[Any, Any], key: Any, other: Any, make: Callable[[], Any]) -> Any:
-        """The entry of this key, or the common one once the table is full: its size has a bound."""
+    def _entry(table: dict[Any, Any], key: Any, other: Any, make: Callable[[], Any]) -> Any:
+        """Returns the entry of a key, or the entry of `other` for a new key if the table is full."""
         if len(table) >= MAX_ROUTES and key not in table:
             key = other
-        found = table.get(key)
-        if found is None:
-            found = table[key] = make()
-        return found
+        entry = table.get(key)
+        if entry is None:
+            entry = table[key] = make()
+        return entry
 
     def roll_over(self, now: float, last: bool = False) -> None:
-        """Closes the interval that is over, and begins the one that `now` lies in."""
-        if now < self.until and not last:
+        """Saves the interval if it is over, and starts the interval that contains `now`.
+
+        `last` saves the interval in any case.
+        """
+        if now < self.ends_at and not last:
             return
-        end = min(now, self.until)
+        end = min(now, self.ends_at)
         for o in self.occupied.values():
-            o.turn(end, 0)
-        self.save(self._told(end))
-        self.occupied = {key: o for key, o in self.occupied.items() if o.up}  # seats of calls that go on
-        self._begin()
-        # After a standstill, intervals in which nothing was seen are left out, not written as empty.
-        missed = int((now - self.until) // self.interval) if now > self.until else 0
-        self.since = end + missed * self.interval
+            o.add(end, 0)
+        self.save(self._to_dict(end))
+        self.occupied = {key: o for key, o in self.occupied.items() if o.active}
+        self._clear()
+        # After a stall of the process, the intervals without data are skipped, and not saved as empty ones.
+        missed = int((now - self.ends_at) // self.interval) if now > self.ends_at else 0
+        self.started_at = end + missed * self.interval
         for o in self.occupied.values():
-            o.renew(self.since)
-        self.until += (missed + 1) * self.interval
+            o.start_interval(self.started_at)
+        self.ends_at += (missed + 1) * self.interval
 
-    def _told(self, end: float) -> dict[str, Any]:
+    def _to_dict(self, end: float) -> dict[str, Any]:
         return {
-            "from": self.clock(self.since),
+            "from": self.clock(self.started_at),
             "to": self.clock(end),
-            "begin": self.clock(self.until - self.interval),
+            "begin": self.clock(self.ends_at - self.interval),
             "arrivals": [
-                {"dest": dest, "class": klass, "first": a.first, "redials": a.redials}
-                for (dest, klass), a in self.arrivals.items()
+                {"dest": dest, "class": call_class, "first": a.first_attempts, "redials": a.redials}
+                for (dest, call_class), a in self.arrivals.items()
             ],
             "routes": [
                 {
                     "tried": tried,
                     "took": took,
-                    "class": klass,
+                    "class": call_class,
                     **o.counts,
                     "redials_carried": o.redials_carried,
                     "lost_ms": round(o.lost_ms, 3),
                     "delay": o.delay,
                 }
-                for (tried, took, klass), o in self.routes.items()
+                for (tried, took, call_class), o in self.routes.items()
             ],
             "occupied": [
                 {
                     "cell": cell,
-                    "class": klass,
-                    "call_ms": round(o.integral, 3),
+                    "class": call_class,
+                    "call_ms": round(o.call_ms, 3),
                     "peak": o.peak,
-                    "up": o.up,
+                    "up": o.active,
                     "ended": o.ended,
-                    "held_ms": round(o.held_sum, 3),
-                    "held_s2": round(o.held_squares, 9),
-                    "held": o.held,
+                    "held_ms": round(o.duration_sum, 3),
+                    "held_s2": round(o.duration_squares, 9),
+                    "held": o.durations,
                 }
-                for (cell, klass), o in self.occupied.items()
+                for (cell, call_class), o in self.occupied.items()
             ],
         }
--- a/softswitch/measure/recordfile.py
+++ b/softswitch/measure/recordfile.py
@@ -1,10 +1,13 @@
-"""The file of a traffic record: a head, then frames with checksums. Cut at any byte, its whole frames stand.
+"""The file of a traffic record: a header, then frames with checksums.
+
+A file that is truncated at any byte remains readable up to its last complete frame.
 
     file  = "WHTR" version:2 frame*          big-endian
-    frame = length:4 xxh64:8 payload         the checksum is of the payload, with the frame's place as seed
+    frame = length:4 xxh64:8 payload         the checksum is of the payload, seeded with the frame's position
 
-A payload is a JSON object: first {"kind":"head",...} of each softswitch that begins to write, then an entry
-an interval. A frame out of place does not pass its checksum: a block that was moved or doubled is noticed.
+A payload is a JSON object: {"kind":"head",...} when a softswitch starts to write, then one entry per
+interval. The checksum of a frame at another position does not match, so that a block that was moved or
+duplicated is detected.
 """
 
 from __future__ import annotations
@@ -20,17 +23,17 @@
 from xxhash import xxh64_intdigest
 
 MAGIC, VERSION = b"WHTR", 1
-START, FRAME = Struct(">4sH"), Struct(">IQ")
-MOST_FRAME = 16 << 20
+FILE_HEADER, FRAME = Struct(">4sH"), Struct(">IQ")
+MAX_FRAME = 16 << 20
 
 
 class RecordFileError(Exception):
-    """A file that is no traffic record of this version; the text names the file and the remedy."""
+    """A file is not a traffic record of this version; the message has the file and the remedy."""
 
 
 @dataclass(slots=True)
 class Contents:
-    """What a file holds. `stop_reason` tells why reading ended before the end of the file, or is empty.
+    """Contents of a file. `stop_reason` tells why reading ended before the end of the file, or is empty.
 
     `valid_bytes` is the length of the part that was read.
     """
@@ -43,80 +46,81 @@
 
 
 def frames(data: bytes, at: int) -> Iterator[tuple[int, bytes]]:
-    """(end, payload) of each whole frame from `at` on; ends at the first that is not whole or not sound."""
+    """Yields (end, payload) of each frame from position `at`, up to the first incomplete or corrupt frame."""
     while at + FRAME.size <= len(data):
-        length, told = FRAME.unpack_from(data, at)
-        begin, end = at + FRAME.size, at + FRAME.size + length
-        if length > MOST_FRAME or end > len(data) or xxh64_intdigest(data[begin:end], at) != told:
+        length, checksum = FRAME.unpack_from(data, at)
+        start, end = at + FRAME.size, at + FRAME.size + length
+        if length > MAX_FRAME or end > len(data) or xxh64_intdigest(data[start:end], at) != checksum:
             return
-        yield end, data[begin:end]
+        yield end, data[start:end]
         at = end
 
 
 def read(path: str | Path) -> Contents:
-    """Reads up to the last whole frame. RecordFileError on a file of another kind or version."""
+    """Reads a file up to its last complete frame. RecordFileError for a file of another type or version."""
     try:
         data = Path(path).read_bytes()
     except OSError as e:
         raise RecordFileError(f"{path}: can't be read: {e.strerror}") from None
-    found = Contents(str(path))
-    if len(data) < START.size:
+    contents = Contents(str(path))
+    if len(data) < FILE_HEADER.size:
         if not MAGIC.startswith(data[:4]):
             raise RecordFileError(
-                f"{path}: no traffic record; name a file that a softswitch wrote (`record` in the "
+                f"{path}: not a traffic record; name a file that a softswitch wrote (`record` in the "
                 "operator file)"
             )
-        found.stop_reason = f"cut at byte {len(data)}, within its head: nothing is left"
-        return found
-    magic, version = START.unpack_from(data)
+        contents.stop_reason = f"cut at byte {len(data)}, within its head: nothing is left"
+        return contents
+    magic, version = FILE_HEADER.unpack_from(data)
     if magic != MAGIC:
         raise RecordFileError(
-            f"{path}: no traffic record; name a file that a softswitch wrote (`record` in the operator file)"
+            f"{path}: not a traffic record; name a file that a softswitch wrote (`record` in the "
+            "operator file)"
         )
     if version != VERSION:
         raise RecordFileError(
             f"{path}: written by version {version} of the format, and this program reads {VERSION}; "
             "read it with the willowhitch that wrote it"
         )
-    found.valid_bytes = START.size
-    for end, payload in frames(data, START.size):
+    contents.valid_bytes = FILE_HEADER.size
+    for end, payload in frames(data, FILE_HEADER.size):
         try:
             entry = orjson.loads(payload)
         except ValueError:
-            break  # its checksum is right: written so. Nothing behind it can be trusted either.
-        (found.heads if entry.get("kind") == "head" else found.entries).append(entry)
-        found.valid_bytes = end
-    if found.valid_bytes < len(data):
-        found.stop_reason = (
-            f"{len(data) - found.valid_bytes} bytes after byte {found.valid_bytes} are cut or spoilt and "
-            f"were left out; {len(found.entries)} whole intervals were read"
+            break  # the checksum matches, so it was written like this: later frames are not reliable either
+        (contents.heads if entry.get("kind") == "head" else contents.entries).append(entry)
+        contents.valid_bytes = end
+    if contents.valid_bytes < len(data):
+        contents.stop_reason = (
+            f"{len(data) - contents.valid_bytes} bytes after byte {contents.valid_bytes} are cut or spoilt "
+            f"and were left out; {len(contents.entries)} whole intervals were read"
         )
-    return found
+    return contents
 
 
 def frame(payload: bytes, at: int) -> bytes:
-    """The bytes of one frame: length, checksum over payload and position, payload."""
+    """Returns one frame: length, checksum of payload and position, payload."""
     return FRAME.pack(len(payload), xxh64_intdigest(payload, at)) + payload
 
 
 class Writer:
-    """Appends frames to one file, for one softswitch. Not for the loop's thread: it writes and syncs.
+    """Appends frames to the file of one softswitch.
 
-    A torn end, as a kill leaves it, is cut back to the last whole frame first. A disk that refuses is told
-    once by `OSError`; what could not be written is lost, and the next write begins at the last whole frame
-    again.
+    It writes and syncs, and must not be called in the thread of the event loop. An incomplete end, as left by
+    a killed process, is truncated to the last complete frame first. If a write fails, it raises OSError, the
+    entry is lost, and the next write starts after the last complete frame.
     """
 
-    def __init__(self, path: str | Path, head: dict[str, Any], most: int) -> None:
-        self.path, self.most = Path(path), most
+    def __init__(self, path: str | Path, head: dict[str, Any], max_bytes: int) -> None:
+        self.path, self.max_bytes = Path(path), max_bytes
         self.head = orjson.dumps({"kind": "head"} | head)
         self.file: Any = None
         self.size = 0
 
     def write(self, entry: dict[str, Any]) -> None:
-        """Appends one entry, and starts a new file where this one is full. OSError if the disk refuses."""
+        """Appends one entry, and starts a new file if this one is full. Raises OSError if the write fails."""
         payload = orjson.dumps(entry, default=encode_histogram)
-        if self.file is not None and self.size + len(payload) + FRAME.size > self.most:
+        if self.file is not None and self.size + len(payload) + FRAME.size > self.max_bytes:
             self.close()
             os.replace(self.path, self.path.with_name(self.path.name + ".1"))
         try:
@@ -128,40 +132,40 @@
             raise
 
     def _open(self) -> None:
-        good = 0
+        valid_bytes = 0
         if self.path.exists():
             contents = read(self.path)
-            good = contents.valid_bytes
-            if good >= self.most:
+            valid_bytes = contents.valid_bytes
+            if valid_bytes >= self.max_bytes:
                 os.replace(self.path, self.path.with_name(self.path.name + ".1"))
-                good = 0
+                valid_bytes = 0
         self.file = open(self.path, "r+b" if self.path.exists() else "w+b", buffering=0)  # noqa: SIM115
-        self.file.truncate(good)
-        self.file.seek(good)
-        self.size = good
-        if good < START.size:
+        self.file.truncate(valid_bytes)
+        self.file.seek(valid_bytes)
+        self.size = valid_bytes
+        if valid_bytes < FILE_HEADER.size:
             self.file.truncate(0)
             self.file.seek(0)
-            self.size = self._all(START.pack(MAGIC, VERSION))
+            self.size = self._write_all(FILE_HEADER.pack(MAGIC, VERSION))
         self._append(self.head)
 
-    def _all(self, data: bytes) -> int:
-        left = memoryview(data)
-        while left:
-            left = left[self.file.write(left) :]
+    def _write_all(self, data: bytes) -> int:
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[self.file.write(remaining) :]
         return len(data)
 
     def _append(self, payload: bytes) -> None:
-        self.size += self._all(frame(payload, self.size))
+        self.size += self._write_all(frame(payload, self.size))
         os.fsync(self.file.fileno())
 
     def close(self) -> None:
-        """Closes the file; the next entry opens it again."""
+        """Closes the file; the next write reopens it."""
         file, self.file = self.file, None
         if file is not None:
             file.close()
 
 
 def encode_histogram(value: Any) -> Any:
-    """Histograms as their own compressed text (HdrHistogram V2), for orjson."""
+    """Encodes a histogram as compressed text (HdrHistogram V2) for orjson; an empty one as an empty text."""
     return value.encode().decode() if value.get_total_count() else ""
--- a/softswitch/measure/recording.py
+++ b/softswitch/measure/recording.py
@@ -1,4 +1,4 @@
-"""Ties a traffic record to a running switch and its file. Loaded only where the operator file asks for it."""
+"""Connects a traffic record to a running switch and its file. Loaded only if the operator file sets it."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from softswitch.measure.record import TrafficRecord
 from softswitch.measure.recordfile import RecordFileError, Writer, read
 
-MAX_PENDING_INTERVALS = 8  # intervals that wait to be written; a disk slower than that loses the newest
+MAX_PENDING_INTERVALS = 8  # waiting to be written; further intervals are dropped if the disk is too slow
 
 
 def rejection_outcome(call: Call) -> str:
-    """The outcome of a rejected call, as the record names it."""
+    """Returns the name of a rejected call's outcome in the record."""
     if Obstacle.NO_CIRCUIT in call.obstacles:
         return "blocked"
     if Obstacle.PROCESSOR_FULL in call.obstacles:
@@ -30,7 +30,10 @@
 
 
 class Recording:
-    """Fulfils `core.call.CallObserver`. Intervals are encoded and written by `in_thread`, one at a time."""
+    """Records the calls of a switch, as its `core.call.CallObserver`.
+
+    Intervals are encoded and written by `in_thread`, one at a time.
+    """
 
     def __init__(
         self,
@@ -40,36 +43,39 @@
         slot: float,
         clock: Callable[[float], float],
         in_thread: Callable[..., Any],
-        aims: dict[str, float],
+        objectives: dict[str, float],
     ) -> None:
-        self.switch, self.writer, self.in_thread, self.aims = switch, writer, in_thread, aims
+        self.switch, self.writer, self.in_thread, self.objectives = switch, writer, in_thread, objectives
         self.table: Any = None
         self.pending: deque[dict[str, Any]] = deque()
-        self.writing, self.failing = Lock(), False  # taken by writing threads alone, never by the loop
+        self.writing, self.failing = (
+            Lock(),
+            False,
+        )  # used by the writing threads only, never by the event loop
         self.record = TrafficRecord(interval, slot, clock, self._save, switch.wheel.now)
         self._tick()
 
     def _tick(self) -> None:
         now = self.switch.wheel.now
         self.record.roll_over(now)
-        self.switch.wheel.call_at(max(now + 1.0, self.record.until), self._tick)
+        self.switch.wheel.call_at(max(now + 1.0, self.record.ends_at), self._tick)
 
-    # as a `core.call.CallObserver`
+    # core.call.CallObserver
 
     def call_received(self, call: Call) -> None:
-        """A call was taken in."""
+        """Records the arrival of a call setup."""
         request = call.request
         self.record.attempt_received(
             call.received_at, request.destination_cell, request.call_class, request.redial
         )
 
     def call_settled(self, call: Call, result: CallResult) -> None:
-        """A call is owed no answer any more."""
+        """Records the outcome of a call setup."""
         now, request, cells = self.switch.wheel.now, call.request, self.switch.endpoints.cells
         delay = now - call.received_at
         outcome, carried_by = result.value, -1
         if result is CallResult.ESTABLISHED:
-            outcome = "carried" if delay <= self.aims.get(request.call_class, delay) else "late"
+            outcome = "carried" if delay <= self.objectives.get(request.call_class, delay) else "late"
             carried_by = cells.get(call.server or "", -1)
         elif result is CallResult.REJECTED:
             outcome = rejection_outcome(call)
@@ -79,17 +85,17 @@
         )
 
     def call_ended(self, call: Call) -> None:
-        """An established call has ended."""
+        """Records the end of an established call."""
         now = self.switch.wheel.now
         if (
             call.record_slot is not None and call.established_at is not None
-        ):  # else it began before the record
+        ):  # otherwise the call started before the record
             self.record.call_ended(now, call.record_slot, now - call.established_at)
 
-    # to the file
+    # writing to the file
 
     def _save(self, entry: dict[str, Any]) -> None:
-        """In the loop: it must not wait for a disk, however long a write takes."""
+        """Queues an entry. Runs in the event loop, and so must not wait for the disk."""
         if len(self.pending) >= MAX_PENDING_INTERVALS:
             self.switch.counters[Count.RECORD_INTERVALS_LOST] += 1
             return
@@ -98,7 +104,7 @@
         self.in_thread(self._write)
 
     def _write(self) -> None:
-        """In a thread of the reactor's pool, one at a time."""
+        """Writes the queued entries. Runs in the thread pool of the reactor, one at a time."""
         with self.writing:
             while self.pending:
                 try:
@@ -107,38 +113,38 @@
                 except (OSError, RecordFileError) as e:
                     self.switch.counters[Count.RECORD_INTERVALS_LOST] += 1
                     if not self.failing:
-                        logger.warning("traffic record: not written, the softswitch serves on: {}", e)
+                        logger.warning("traffic record: not written, the softswitch keeps serving: {}", e)
                     self.failing = True
 
-    # as a part of the softswitch (components.Component)
+    # components.Component
 
     def start(self) -> None:
-        """Logs where entries go; the intervals are timed by the switch's events."""
-        every = self.record.interval / 1000
-        logger.info("traffic record: an entry each {:g} s to {}", every, self.writer.path)
+        """Logs the file; the timer wheel of the switch times the intervals."""
+        interval_s = self.record.interval / 1000
+        logger.info("traffic record: an entry every {:g} s to {}", interval_s, self.writer.path)
 
     def reload(self, table: Any, settings: Any) -> str:
-        """Takes the classes' objectives. Returns the table's name if a change of it needs a restart."""
-        self.aims = {c.name: c.latency_objective for c in settings.classes}
+        """Applies the latency objectives. Returns the table's name if it changed, which needs a restart."""
+        self.objectives = {c.name: c.latency_objective for c in settings.classes}
         return "" if table == self.table else "record"
 
     def figures(self) -> dict[str, Any]:
-        """Nothing: the record has a file of its own."""
+        """Returns no figures, since the record has its own file."""
         return {}
 
     def stop(self) -> None:
-        """The interval under way is written as far as it got."""
+        """Writes the current, incomplete interval and closes the file."""
         self.in_thread = lambda work: work()
         self.record.roll_over(self.switch.wheel.now, last=True)
         self.writer.close()
 
 
 def make(table: Any, host: Host) -> Recording:
-    """Makes the component from the operator file's table. An existing record is checked first."""
+    """Makes the component from its table of the operator file. An existing record is checked first."""
     path = host.folder / table.file
     try:
         if path.exists():
-            read(path)  # another version's, or no record at all: told now, and left as it is
+            read(path)  # a file of another type or version is reported now, and not modified
     except RecordFileError as e:
         raise ValueError(str(e)) from None
     path.parent.mkdir(parents=True, exist_ok=True)
@@ -149,16 +155,16 @@
         "classes": [c.name for c in host.settings.classes],
         "since": time.time() * 1000.0,
     }
-    aims = {c.name: c.latency_objective for c in host.settings.classes}
-    made = Recording(
+    objectives = {c.name: c.latency_objective for c in host.settings.classes}
+    recording = Recording(
         host.switch,
         Writer(path, head, table.most_mb << 20),
         table.interval_s * 1000,
         table.slot_s * 1000,
         lambda now: now - host.offset,
         host.reactor.callInThread,
-        aims,
+        objectives,
     )
-    made.table = table
-    host.switch.observer = made
-    return made
+    recording.table = table
+    host.switch.observer = recording
+    return recording
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -1,4 +1,4 @@
-"""The traffic record and its file; the operator file that asks for it."""
+"""The traffic record, its file, and the operator file that enables it."""
 
 import json
 import os
@@ -30,44 +30,44 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(st.tuples(st.floats(0, 400), st.integers(0, 2), st.booleans()), max_size=60))
-def test_what_is_told_adds_up(steps):
-    """Whatever comes in whatever order: arrivals, outcomes and occupancy agree with a plain book."""
+def test_saved_intervals_match_a_reference_count(steps):
+    """Arrivals, outcomes and occupancy match a simple reference count for any sequence of events."""
     r, saved = record()
-    now, up, came, stood, ended, area = 0.0, [], 0, 0, 0, 0.0
-    for gap, what, redial in steps:
-        area += gap * len(up)
+    now, active, received, established, ended, call_ms = 0.0, [], 0, 0, 0, 0.0
+    for gap, event, redial in steps:
+        call_ms += gap * len(active)
         now += gap
-        if what == 0:
+        if event == 0:
             r.attempt_received(now, 1, "x", redial)
-            came += 1
-        elif what == 1:
-            up.append((now, r.attempt_settled(now, 1, 2, "x", "carried", 5.0, redial)))
-            stood += 1
-        elif up:
-            since, seat = up.pop(0)
-            r.call_ended(now, seat, now - since)
+            received += 1
+        elif event == 1:
+            active.append((now, r.attempt_settled(now, 1, 2, "x", "carried", 5.0, redial)))
+            established += 1
+        elif active:
+            established_at, occupancy = active.pop(0)
+            r.call_ended(now, occupancy, now - established_at)
             ended += 1
     r.roll_over(now, last=True)
-    assert sum(sum(a["first"]) + sum(a["redials"]) for e in saved for a in e["arrivals"]) == came
-    assert sum(o["carried"] for e in saved for o in e["routes"]) == stood
-    seats = [o for e in saved for o in e["occupied"]]
-    assert sum(o["ended"] for o in seats) == ended
-    # a standstill over whole intervals leaves its empty ones out, and nothing else
-    longest = max([0.0, *(gap for gap, _, _ in steps)])
-    assert sum(o["call_ms"] for o in seats) <= area + 1e-2
-    if longest < 1000:
-        assert sum(o["call_ms"] for o in seats) == pytest.approx(area, abs=1e-2)
+    assert sum(sum(a["first"]) + sum(a["redials"]) for e in saved for a in e["arrivals"]) == received
+    assert sum(o["carried"] for e in saved for o in e["routes"]) == established
+    occupied = [o for e in saved for o in e["occupied"]]
+    assert sum(o["ended"] for o in occupied) == ended
+    # A stall longer than an interval omits the empty intervals and nothing else.
+    max_gap = max([0.0, *(gap for gap, _, _ in steps)])
+    assert sum(o["call_ms"] for o in occupied) <= call_ms + 1e-2
+    if max_gap < 1000:
+        assert sum(o["call_ms"] for o in occupied) == pytest.approx(call_ms, abs=1e-2)
     assert all(e["begin"] % 1000 == pytest.approx(0, abs=1e-6) for e in saved)
 
 
-def test_routes_have_a_bound_and_what_is_over_is_booked_together():
+def test_routes_over_the_limit_are_counted_together():
     r, saved = record()
-    seats = []
+    occupancies = []
     for n in range(3 * MAX_ROUTES):
         r.attempt_received(1.0, n, "x", False)
-        seats.append(r.attempt_settled(2.0, n, n, "x", "carried", 1.0, False))
-    for seat in seats:
-        r.call_ended(3.0, seat, 1.0)
+        occupancies.append(r.attempt_settled(2.0, n, n, "x", "carried", 1.0, False))
+    for occupancy in occupancies:
+        r.call_ended(3.0, occupancy, 1.0)
     r.roll_over(1000.0)
     (entry,) = saved
     for table, key in (("arrivals", "dest"), ("routes", "tried"), ("occupied", "cell")):
@@ -76,10 +76,10 @@
     assert entry["routes"][-1]["carried"] == 2 * MAX_ROUTES
     assert sum(o["ended"] for o in entry["occupied"]) == 3 * MAX_ROUTES
     r.roll_over(2000.0)
-    assert not saved[1]["occupied"]  # seats with nobody up are dropped
+    assert not saved[1]["occupied"]  # occupancies without active calls are dropped
 
 
-def test_a_file_cut_at_any_byte_reads_up_to_its_last_whole_entry(tmp_path):
+def test_a_file_truncated_at_any_byte_is_read_up_to_its_last_complete_entry(tmp_path):
     path, cut = tmp_path / "a.whtr", tmp_path / "cut.whtr"
     writer, ends = Writer(path, {"name": "n0"}, 1 << 20), []
     for n in range(3):
@@ -91,22 +91,22 @@
         cut.write_bytes(data[:size])
         found = read(cut)
         assert [e["n"] for e in found.entries] == [n for n, end in enumerate(ends) if end <= size]
-        whole = found.valid_bytes == size and size > 0
-        assert bool(found.stop_reason) != whole
-    for at in range(6, len(data)):  # a spoilt byte ends it there, and is told
+        complete = found.valid_bytes == size and size > 0
+        assert bool(found.stop_reason) != complete
+    for at in range(6, len(data)):  # reading stops at a corrupt byte, with a reason
         cut.write_bytes(data[:at] + bytes((data[at] ^ 0x40,)) + data[at + 1 :])
         found = read(cut)
         assert found.stop_reason
         assert [e["n"] for e in found.entries] == [n for n, end in enumerate(ends) if end <= at]
-    # whole frames that have changed places are no record
+    # Reading stops at intact frames that were exchanged.
     first = FRAME.unpack_from(data, ends[0])[0] + FRAME.size
     cut.write_bytes(data[: ends[0]] + data[ends[0] + first :] + data[ends[0] : ends[0] + first])
     assert [e["n"] for e in read(cut).entries] == [0]
-    # and a writer that comes back to a torn file goes on behind its last whole entry
+    # A writer of a truncated file continues after its last complete entry.
     cut.write_bytes(data[:-3])
-    again = Writer(cut, {"name": "n1"}, 1 << 20)
-    again.write({"n": 9})
-    again.close()
+    writer = Writer(cut, {"name": "n1"}, 1 << 20)
+    writer.write({"n": 9})
+    writer.close()
     assert [e["n"] for e in read(cut).entries] == [0, 1, 9]
     assert not read(cut).stop_reason
     assert [h["name"] for h in read(cut).heads] == ["n0", "n1"]
@@ -114,9 +114,9 @@
 
 def test_other_files_versions_and_sizes(tmp_path):
     path = tmp_path / "a.whtr"
-    for data, said in ((b"hello, world", "no traffic record"), (b"WHTR\x00\x09", "version 9")):
+    for data, message in ((b"hello, world", "not a traffic record"), (b"WHTR\x00\x09", "version 9")):
         path.write_bytes(data)
-        with pytest.raises(RecordFileError, match=said):
+        with pytest.raises(RecordFileError, match=message):
             read(path)
     path.unlink()
     with pytest.raises(RecordFileError, match="No such file"):
@@ -131,11 +131,11 @@
     with pytest.raises(RecordFileError):
         path.write_bytes(b"something else")
         Writer(path, {}, 2_000).write({})
-    assert path.read_bytes() == b"something else"  # left as it was
+    assert path.read_bytes() == b"something else"  # not modified
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("x = 1\n", "f.star:1: `x` is no table"),
         (
@@ -157,14 +157,14 @@
         ("# " + "x" * (300 << 10), "bytes; at most"),
     ],
 )
-def test_a_bad_operator_file_is_one_line_with_its_place(text, said):
+def test_a_bad_operator_file_is_one_line_with_its_place(text, message):
     with pytest.raises(OperatorFileError) as e:
         parse_text(text, "f.star")
-    assert said in str(e.value)
+    assert message in str(e.value)
     assert "\n" not in str(e.value)
 
 
-def test_the_shipped_operator_file_turns_nothing_on(capsys):
+def test_the_shipped_operator_file_enables_nothing(capsys):
     path = Path(__file__).parent.parent / "deploy" / "operator.star"
     assert cli.main(["config", "show", str(path)]) == 0
     assert json.loads(capsys.readouterr().out)["record"] is None
@@ -183,7 +183,7 @@
     """
 
 
-def test_a_softswitch_keeps_its_record_through_full_engines_and_a_kill(tmp_path):
+def test_the_record_survives_full_engines_and_a_killed_softswitch(tmp_path):
     star, file = tmp_path / "o.star", tmp_path / "sub" / "t.whtr"
     star.write_text(
         'record = {"file": "sub/t.whtr", "interval_s": 1, "slot_s": 0.25}\nlogs = {"form": "json"}\n'
@@ -198,9 +198,9 @@
         s.play("c0 send INVITE 4\nc0 send CANCEL 4\nc0 wait 2000")
         s.program.kill()
         s.program.wait()
-        known = read(file)
-        assert known.entries
-        assert not known.stop_reason
+        before = read(file)
+        assert before.entries
+        assert not before.stop_reason
         s.start()
         s.parties.clear()
         s.play("c8 send OPTIONS\nc8 expect 200 OK\np send SIGTERM\np expect 0")
@@ -208,20 +208,20 @@
         assert {line["record"]["extra"]["softswitch"] for line in lines} == {"n0"}
     found = read(file)
     assert len(found.heads) == 2
-    assert len(found.entries) > len(known.entries)
+    assert len(found.entries) > len(before.entries)
     sums, first, redials = {}, 0, 0
     for entry in found.entries:
         for a in entry["arrivals"]:
             first, redials = first + sum(a["first"]), redials + sum(a["redials"])
         for r in entry["routes"]:
-            for what in ("carried", "blocked", "given_up"):
-                sums[what] = sums.get(what, 0) + r[what]
+            for outcome in ("carried", "blocked", "given_up"):
+                sums[outcome] = sums.get(outcome, 0) + r[outcome]
     assert (first, redials) == (3, 1)
     assert sums == {"carried": 2, "blocked": 1, "given_up": 1}
     assert sum(o["ended"] for e in found.entries for o in e["occupied"]) == 1
 
 
-def test_a_disk_that_refuses_is_told_once_and_the_softswitch_serves_on(tmp_path):
+def test_failed_writes_are_logged_once_and_the_softswitch_keeps_serving(tmp_path):
     star = tmp_path / "o.star"
     star.write_text('record = {"file": "t.whtr", "interval_s": 1}\n')
     (tmp_path / "t.whtr").mkdir()
@@ -230,7 +230,9 @@
     assert "t.whtr: can't be read" in stage.said()
     stage.__exit__()
     (tmp_path / "t.whtr").rmdir()
-    (tmp_path / "t.whtr").symlink_to(tmp_path / "gone" / "x")  # nothing is there yet, and nothing can be
+    (tmp_path / "t.whtr").symlink_to(
+        tmp_path / "gone" / "x"
+    )  # its target does not exist and cannot be created
     with Stage(env={"SOFTSWITCH_OPERATOR": str(star)}) as s:
         for n in range(1, 4):
             s.play(CALL.format(n=n, e=0, more="") + "c0 wait 1100")
@@ -239,13 +241,13 @@
         assert '"record intervals lost":' in s.said()
 
 
-def test_a_disk_that_hangs_holds_the_loop_up_in_no_way():
-    hangs, wrote = threading.Event(), []
+def test_a_hanging_disk_does_not_block_the_event_loop():
+    released, written = threading.Event(), []
 
     class Slow:
         def write(self, entry):
-            hangs.wait(20)
-            wrote.append(entry)
+            released.wait(20)
+            written.append(entry)
 
     switch = SimpleNamespace(counters=Counter(), wheel=TimerWheel(5.0, lambda: 0.0))
     started = []
@@ -261,14 +263,14 @@
     assert time.monotonic() - began < 2
     assert len(r.pending) == MAX_PENDING_INTERVALS
     assert switch.counters["record intervals"] + switch.counters["record intervals lost"] == 30
-    hangs.set()
+    released.set()
     for thread in started:
         thread.join(10)
-    assert len(wrote) == switch.counters["record intervals"]
+    assert len(written) == switch.counters["record intervals"]
     assert not r.pending
 
 
-def test_nothing_heavy_is_loaded_unless_asked_for():
+def test_optional_packages_are_not_loaded_without_need():
     code = (
         "import sys, softswitch.__main__, softswitch.simulator_adapter\n"
         "print(*[m for m in ('starlark', 'msgspec', 'hdrh', 'xxhash', 'numpy', 'scipy', 'typer', 'rich',"
@@ -284,8 +286,8 @@
     assert ran.returncode == 0 and ran.stdout.strip() == "", ran
 
 
-def test_demo_shows_the_main_job_and_leaves_nothing_running(tmp_path):
-    kept = tmp_path / "kept.whtr"
+def test_demo_carries_calls_and_leaves_no_process_running(tmp_path):
+    record_file = tmp_path / "kept.whtr"
     began = time.monotonic()
     ran = subprocess.run(
         [
@@ -299,7 +301,7 @@
             "30",
             "--json",
             "--keep",
-            str(kept),
+            str(record_file),
         ],
         capture_output=True,
         text=True,
@@ -308,15 +310,15 @@
         cwd=Path(__file__).parent.parent,
     )
     assert ran.returncode == 0, ran.stderr
-    told = json.loads(ran.stdout)
-    assert told["callers"]["calls"] > 40
-    assert told["callers"]["unanswered"] == 0
-    assert told["callers"]["second_answers"] == told["callers"]["wrong_description"] == 0
-    assert sum(r["carried"] + r["late"] for r in told["traffic"]["routes"]) == told["callers"]["carried"]
+    output = json.loads(ran.stdout)
+    assert output["callers"]["calls"] > 40
+    assert output["callers"]["unanswered"] == 0
+    assert output["callers"]["second_answers"] == output["callers"]["wrong_description"] == 0
+    assert sum(r["carried"] + r["late"] for r in output["traffic"]["routes"]) == output["callers"]["carried"]
     assert time.monotonic() - began < 30
-    assert list(tmp_path.iterdir()) == [kept]
-    left = subprocess.run(["ps", "ax", "-o", "args"], capture_output=True, text=True).stdout
-    assert not any(str(tmp_path) in line for line in left.splitlines())
+    assert list(tmp_path.iterdir()) == [record_file]
+    processes = subprocess.run(["ps", "ax", "-o", "args"], capture_output=True, text=True).stdout
+    assert not any(str(tmp_path) in line for line in processes.splitlines())
 
 
 def test_encoding_leaves_empty_histograms_out():
