--- a/softswitch/agent.py
+++ b/softswitch/agent.py
@@ -1,6 +1,7 @@
-"""The agent: starts, watches, restarts and drains the softswitches that a TOML file names.
+"""The agent: a supervisor that starts, monitors, restarts and drains the softswitches listed in a TOML file.
 
-It is spoken to over a Unix socket: one JSON object a line, one answer to each (`cli.py` does so).
+It accepts requests on a Unix socket, one JSON object per line, and answers each with one line. The client is
+`cli/agent_client.py`.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 from twisted.internet.protocol import Factory, ProcessProtocol
 from twisted.protocols.basic import LineReceiver
 
-FIRST_WAIT, LONGEST_WAIT = 0.5, 30.0  # s before a softswitch that ended is started again; doubles
-STEADY_AFTER = 10.0  # s of running after which the wait begins anew
-KNOWS_HUP_AFTER = 2.0  # s after its start
-KILL_AFTER = 15.0  # s that a drain may take
+MIN_BACKOFF, MAX_BACKOFF = 0.5, 30.0  # s before a softswitch that exited is restarted; doubles each time
+BACKOFF_RESET_AFTER = 10.0  # s of running after which the backoff is reset
+HANDLES_HUP_AFTER = 2.0  # s after the start of the process
+KILL_AFTER = 15.0  # max s for a drain
 
 
 class AgentConfigError(Exception):
-    """An agent's file that cannot be served."""
+    """The agent's file is not valid, or its socket can't be opened."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,20 +37,22 @@
     """One softswitch that the agent runs."""
 
     name: str
-    config: str  # its BALANCER_CONFIG
-    control: str = ""  # its SOFTSWITCH_CONTROL; empty: the repository's
+    config: str  # value of BALANCER_CONFIG
+    control: str = ""  # value of SOFTSWITCH_CONTROL; empty: the file in the repository
     env: dict[str, str] = field(default_factory=dict)
 
 
 def read(path: str) -> tuple[str, list[Instance]]:
-    """The socket's path and the instances; relative paths are beside the file."""
+    """Returns the path of the socket and the instances; relative paths start at the directory of the file."""
     try:
-        table, beside = tomllib.loads(Path(path).read_text()), Path(path).resolve().parent
+        table, directory = tomllib.loads(Path(path).read_text()), Path(path).resolve().parent
         instances = [Instance(**entry) for entry in table.get("instance", [])]
         if not instances or len({i.name for i in instances}) != len(instances):
-            raise ValueError("at least one [[instance]], and no name twice")
-        return str(beside / table["socket"]), [
-            Instance(i.name, str(beside / i.config), str(beside / i.control) if i.control else "", i.env)
+            raise ValueError("at least one [[instance]] is needed, and names must be unique")
+        return str(directory / table["socket"]), [
+            Instance(
+                i.name, str(directory / i.config), str(directory / i.control) if i.control else "", i.env
+            )
             for i in instances
         ]
     except KeyError as e:
@@ -58,23 +61,24 @@
         raise AgentConfigError(f"{path}: {e}") from None
 
 
-class Watched(ProcessProtocol):
-    """One softswitch under the agent's eye."""
+class Supervised(ProcessProtocol):
+    """The process of one softswitch, monitored by the agent."""
 
     def __init__(self, instance: Instance) -> None:
-        self.instance, self.wanted, self.again = instance, True, False
-        self.state, self.since, self.starts, self.wait = "waiting", monotonic(), 0, FIRST_WAIT
-        self.kill = self.due = None
+        # enabled: the process is to run; restarting: it is to be restarted once it is drained.
+        self.instance, self.enabled, self.restarting = instance, True, False
+        self.state, self.state_since, self.starts, self.backoff = "waiting", monotonic(), 0, MIN_BACKOFF
+        self.kill_timer = self.start_timer = None
 
     def start(self) -> None:
-        """Starts the process, unless it runs or is not wanted."""
-        self.due = None
-        if not self.wanted or self.state in ("running", "draining"):
+        """Starts the process, unless it is running or disabled."""
+        self.start_timer = None
+        if not self.enabled or self.state in ("running", "draining"):
             return
         env = os.environ | {"BALANCER_CONFIG": self.instance.config} | self.instance.env
         if self.instance.control:
             env["SOFTSWITCH_CONTROL"] = self.instance.control
-        self._is("running")
+        self._set_state("running")
         self.starts += 1
         reactor.spawnProcess(
             self,
@@ -86,153 +90,155 @@
         )
         logger.info("agent: {} started, process {}", self.instance.name, self.transport.pid)
 
-    def _is(self, state: str) -> None:
-        self.state, self.since = state, monotonic()
+    def _set_state(self, state: str) -> None:
+        self.state, self.state_since = state, monotonic()
 
-    def drain(self, again: bool = False) -> None:
-        """Ends it in good order; `again`: and starts it anew."""
-        self.wanted, self.again = again, again
-        if self.due is not None:
-            self.due.cancel()
-            self.due = None
+    def drain(self, restart: bool = False) -> None:
+        """Drains and ends the process, and starts it again if `restart` is set."""
+        self.enabled, self.restarting = restart, restart
+        if self.start_timer is not None:
+            self.start_timer.cancel()
+            self.start_timer = None
         if self.state == "running":
-            self._is("draining")
+            self._set_state("draining")
             self.transport.signalProcess("TERM")
-            self.kill = reactor.callLater(KILL_AFTER, self._kill)
+            self.kill_timer = reactor.callLater(KILL_AFTER, self._kill)
         elif self.state != "draining":
-            self._is("drained")
-            if again:
+            self._set_state("drained")
+            if restart:
                 self.start()
 
     def reload(self) -> None:
-        """It reads its configuration again and keeps serving."""
+        """Makes the running process reload its configuration, by SIGHUP."""
         if self.state == "running":
-            # One that has just begun does not know the signal yet, and would end by it.
-            reactor.callLater(max(0.0, KNOWS_HUP_AFTER - (monotonic() - self.since)), self._hup, self.starts)
+            # SIGHUP would end a process that has just started and does not handle the signal yet.
+            reactor.callLater(
+                max(0.0, HANDLES_HUP_AFTER - (monotonic() - self.state_since)), self._hup, self.starts
+            )
 
     def _hup(self, start: int) -> None:
         if self.state == "running" and self.starts == start:
             self.transport.signalProcess("HUP")
 
     def _kill(self) -> None:
-        self.kill = None
-        logger.warning("agent: {} did not end within {:.0f} s, killed", self.instance.name, KILL_AFTER)
+        self.kill_timer = None
+        logger.warning("agent: {} did not exit within {:.0f} s, killed", self.instance.name, KILL_AFTER)
         self.transport.signalProcess("KILL")
 
     def processEnded(self, reason: Any) -> None:
-        """Twisted callback: the process has ended; it is started again if it is wanted."""
-        ran, drained = monotonic() - self.since, self.state == "draining"
-        if self.kill is not None:
-            self.kill.cancel()
-            self.kill = None
-        how = "in good order" if reason.check(ProcessDone) else str(reason.value)
-        logger.info("agent: {} ended: {}", self.instance.name, how)
-        if drained and not self.again:
-            self._is("drained")
+        """Twisted callback: the process has exited. Restarts it, unless it was drained without restart."""
+        uptime, drained = monotonic() - self.state_since, self.state == "draining"
+        if self.kill_timer is not None:
+            self.kill_timer.cancel()
+            self.kill_timer = None
+        outcome = "exit status 0" if reason.check(ProcessDone) else str(reason.value)
+        logger.info("agent: {} ended: {}", self.instance.name, outcome)
+        if drained and not self.restarting:
+            self._set_state("drained")
             return
-        if drained or ran >= STEADY_AFTER:
-            self.wait = FIRST_WAIT
-        wait, self.again = 0.0 if drained else self.wait, False
-        self.wait = min(2 * self.wait, LONGEST_WAIT)
-        self._is("waiting")
-        self.due = reactor.callLater(wait, self.start)
+        if drained or uptime >= BACKOFF_RESET_AFTER:
+            self.backoff = MIN_BACKOFF
+        delay, self.restarting = 0.0 if drained else self.backoff, False
+        self.backoff = min(2 * self.backoff, MAX_BACKOFF)
+        self._set_state("waiting")
+        self.start_timer = reactor.callLater(delay, self.start)
 
     def status(self) -> dict[str, Any]:
-        """State, process id and what else the command line shows, as JSON types."""
+        """Returns the state, the process id and the other values for the command line, as JSON types."""
         pid = self.transport.pid if self.state in ("running", "draining") else None
         return {
             "name": self.instance.name,
             "state": self.state,
             "pid": pid,
             "starts": self.starts,
-            "seconds": round(monotonic() - self.since, 1),
+            "seconds": round(monotonic() - self.state_since, 1),
         }
 
 
-class AgentLine(LineReceiver):
-    """One client of the agent."""
+class AgentConnection(LineReceiver):
+    """The connection of one client of the agent."""
 
     delimiter, MAX_LENGTH = b"\n", 4_096
 
     def lineReceived(self, line: bytes) -> None:
-        """Twisted callback: one request, a JSON object on a line; the answer is one too."""
+        """Twisted callback: answers one request; request and answer are JSON objects on one line."""
         try:
-            said = orjson.loads(line)
-            answer = self.factory.agent.asked(said["do"], said.get("name"))
+            request = orjson.loads(line)
+            answer = self.factory.agent.handle_request(request["do"], request.get("name"))
         except (ValueError, KeyError, TypeError, AttributeError):
             answer = {"error": "an object with do, and name where it is wanted"}
         self.sendLine(orjson.dumps(answer))
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        """Twisted callback: a request that is too long ends the connection."""
+        """Twisted callback: closes the connection if a request is too long."""
         self.transport.loseConnection()
 
 
 class Agent(Factory):
-    """Runs the instances, and answers the command line on a Unix socket."""
+    """Runs the instances, and answers the requests of the command line on a Unix socket."""
 
-    protocol, noisy = AgentLine, False
+    protocol, noisy = AgentConnection, False
 
     def __init__(self, instances: list[Instance]) -> None:
-        self.agent, self.ending = self, False
-        self.watched = {i.name: Watched(i) for i in instances}
+        self.agent, self.stopping = self, False
+        self.supervised = {i.name: Supervised(i) for i in instances}
 
     def start(self) -> None:
         """Starts all instances."""
-        for watched in self.watched.values():
-            watched.start()
+        for process in self.supervised.values():
+            process.start()
 
-    def asked(self, what: str, name: str | None) -> dict[str, Any]:
-        """Carries out one request. The answer has `error` if it was refused."""
-        if name is not None and name not in self.watched:
+    def handle_request(self, action: str, name: str | None) -> dict[str, Any]:
+        """Executes one request. The answer has `error` if the request is rejected."""
+        if name is not None and name not in self.supervised:
             return {"error": f"no instance {name!r}"}
-        chosen = [w for n, w in self.watched.items() if name in (None, n)]
-        if what in ("drain", "restart"):
-            if self.ending:
+        selected = [p for n, p in self.supervised.items() if name in (None, n)]
+        if action in ("drain", "restart"):
+            if self.stopping:
                 return {"error": "the agent is ending"}
-            for watched in chosen:
-                watched.drain(again=what == "restart")
-        elif what == "reload":
-            for watched in chosen:
-                watched.reload()
-        elif what != "status":
-            return {"error": f"{what!r} is not status, drain, restart or reload"}
-        return {"instances": [w.status() for w in chosen]}
-
-    def end(self) -> None:
-        """Drains all, then ends the agent."""
-        if not self.ending:
-            self.ending = True
+            for process in selected:
+                process.drain(restart=action == "restart")
+        elif action == "reload":
+            for process in selected:
+                process.reload()
+        elif action != "status":
+            return {"error": f"{action!r} is not status, drain, restart or reload"}
+        return {"instances": [p.status() for p in selected]}
+
+    def stop(self) -> None:
+        """Drains all softswitches, then stops the agent."""
+        if not self.stopping:
+            self.stopping = True
             logger.info("agent: draining all")
-            for watched in self.watched.values():
-                watched.drain()
-            self._end_when_done()
+            for process in self.supervised.values():
+                process.drain()
+            self._stop_when_drained()
 
-    def _end_when_done(self) -> None:
-        if all(w.state == "drained" for w in self.watched.values()):
+    def _stop_when_drained(self) -> None:
+        if all(p.state == "drained" for p in self.supervised.values()):
             reactor.stop()
         else:
-            reactor.callLater(0.1, self._end_when_done)
+            reactor.callLater(0.1, self._stop_when_drained)
 
 
 def run(path: str) -> int:
-    """Runs the agent by the file at `path` until it is stopped; the exit status."""
+    """Runs the agent with the file at `path` until it is stopped. Returns the exit status."""
     socket, instances = read(path)
     agent = Agent(instances)
     try:
         if os.path.exists(socket):
-            os.unlink(socket)  # left by an agent that was killed
+            os.unlink(socket)  # left over from a killed agent
         reactor.listenUNIX(socket, agent, mode=0o600)
     except Exception as e:
         raise AgentConfigError(f"{socket}: {e}") from None
 
-    def begin() -> None:
+    def start_agent() -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, lambda *_: reactor.callFromThread(agent.end))
-        # Guards against an agent that a SIGHUP ends, and its softswitches left with nobody to watch them.
-        signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(agent.asked, "reload", None))
+            signal.signal(number, lambda *_: reactor.callFromThread(agent.stop))
+        # By default, SIGHUP would end the agent and leave its softswitches running without supervision.
+        signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(agent.handle_request, "reload", None))
         agent.start()
 
-    reactor.callWhenRunning(begin)
-    reactor.run()  # its own handler of SIGCHLD sees softswitches end
+    reactor.callWhenRunning(start_agent)
+    reactor.run()  # its SIGCHLD handler detects the exit of softswitches
     return 0
--- a/softswitch/operator/load.py
+++ b/softswitch/operator/load.py
@@ -1,4 +1,4 @@
-"""Reads an operator file. Hermetic: no `load`, no I/O, bounded size, depth and time."""
+"""Loads an operator file. The evaluation is hermetic: no `load`, no I/O, limited size, depth and time."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
 
 from softswitch.operator.tables import Operator
 
-MOST_BYTES = 256 << 10
-MOST_SECONDS, MOST_DEPTH = 2.0, 64
-NAME = re.compile(r"(?m)^([A-Za-z]\w*)\s*(?:=(?!=)|\()")  # a table set at the top; `_x` is the file's own
-WHERE = re.compile(r"--> [^\n]*?:(\d+)(?::(\d+))?")
+MAX_BYTES = 256 << 10
+MAX_SECONDS, MAX_DEPTH = 2.0, 64
+# A table that is assigned at the top level. Names that start with `_` are private to the file.
+NAME = re.compile(r"(?m)^([A-Za-z]\w*)\s*(?:=(?!=)|\()")
+POSITION = re.compile(r"--> [^\n]*?:(\d+)(?::(\d+))?")
 PATH = re.compile(r" - at `\$(?:\.([\w.]+))?`")
 
 
 class OperatorFileError(Exception):
-    """An operator file that cannot be used; the text names file, line and remedy."""
+    """An operator file cannot be used; the message has the file, the line and the remedy."""
 
 
 def load(path: str | Path) -> Operator:
-    """The tables of the file; OperatorFileError with one plain line if it can't be read or breaks a limit."""
+    """Returns the tables of a file. Raises OperatorFileError with a one-line message if it is not valid."""
     path = Path(path)
     try:
         text = path.read_text(encoding="utf-8")
@@ -33,49 +34,53 @@
 
 
 def parse_text(text: str, name: str) -> Operator:
-    """Evaluates the operator file's text. OperatorFileError names the place and the remedy."""
-    if len(text) > MOST_BYTES:
-        raise OperatorFileError(f"{name}: {len(text)} bytes; at most {MOST_BYTES} are read, so keep data out")
-    module, until = starlark.Module(), monotonic() + MOST_SECONDS
-    options = starlark.EvalOptions(check_cancelled=lambda: monotonic() > until, max_callstack_size=MOST_DEPTH)
+    """Evaluates the text of an operator file. OperatorFileError has the position and the remedy."""
+    if len(text) > MAX_BYTES:
+        raise OperatorFileError(
+            f"{name}: {len(text)} bytes; at most {MAX_BYTES} are allowed, so keep data out"
+        )
+    module, deadline = starlark.Module(), monotonic() + MAX_SECONDS
+    options = starlark.EvalOptions(
+        check_cancelled=lambda: monotonic() > deadline, max_callstack_size=MAX_DEPTH
+    )
     try:
         tree = starlark.parse(name, text, starlark.Dialect.standard())
         starlark.eval_with(options, module, tree, starlark.Globals.standard())
     except Exception as e:
-        said = str(e)
-        where = WHERE.search(said)
-        told = re.search(r"(?m)^error: (.*)", said)
-        first = told[1] if told else said.strip().splitlines()[0]
-        if monotonic() > until:
-            first = f"it took over {MOST_SECONDS:g} s: an operator file sets tables, and computes little"
-        raise OperatorFileError(f"{name}:{where[1] if where else 1}: {first}") from None
-    known = {f.name for f in msgspec.structs.fields(Operator)}
+        message = str(e)
+        position = POSITION.search(message)
+        error = re.search(r"(?m)^error: (.*)", message)
+        summary = error[1] if error else message.strip().splitlines()[0]
+        if monotonic() > deadline:
+            summary = f"it took over {MAX_SECONDS:g} s; an operator file must only set tables"
+        raise OperatorFileError(f"{name}:{position[1] if position else 1}: {summary}") from None
+    table_names = {f.name for f in msgspec.structs.fields(Operator)}
     tables = {}
-    for found in NAME.finditer(text):
-        word, line = found[1], text.count("\n", 0, found.start()) + 1
-        if text[found.end() - 1] != "=" or word in ("def", "for", "if", "load"):
+    for match in NAME.finditer(text):
+        word, line = match[1], text.count("\n", 0, match.start()) + 1
+        if text[match.end() - 1] != "=" or word in ("def", "for", "if", "load"):
             continue
-        if word not in known:
+        if word not in table_names:
             raise OperatorFileError(
-                f"{name}:{line}: `{word}` is no table; there are "
-                f"{', '.join(sorted(known))}, and names of the file's own begin with `_`"
+                f"{name}:{line}: `{word}` is not a table; the tables are "
+                f"{', '.join(sorted(table_names))}, and private names of the file start with `_`"
             )
         tables[word] = module[word]
     try:
         return msgspec.convert(tables, Operator)
     except (msgspec.ValidationError, ValueError) as e:
-        said = str(e)
-        at = PATH.search(said)
-        words = (at[1] or "").split(".") if at else []
+        message = str(e)
+        path = PATH.search(message)
+        words = (path[1] or "").split(".") if path else []
         key = f"`{'.'.join(words)}`: " if words and words[0] else ""
-        raise OperatorFileError(f"{name}:{_line_of(text, words)}: {key}{PATH.sub('', said)}") from None
+        raise OperatorFileError(f"{name}:{_line_of(text, words)}: {key}{PATH.sub('', message)}") from None
 
 
 def _line_of(text: str, words: list[str]) -> int:
-    """The line that sets a key: the table's, and within it the first that names the field."""
-    at = 0
+    """Returns the line of a key: the first line that names the field, from the line of its table on."""
+    offset = 0
     for n, word in enumerate(w for w in words if w):
         pattern = rf"(?m)^{word}\s*=" if n == 0 else rf"[\"']{word}[\"']|\b{word}\s*="
-        found = re.compile(pattern).search(text, at)
-        at = found.start() if found else at
-    return text.count("\n", 0, at) + 1
+        match = re.compile(pattern).search(text, offset)
+        offset = match.start() if match else offset
+    return text.count("\n", 0, offset) + 1
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -137,14 +137,14 @@
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        ("x = 1\n", "f.star:1: `x` is no table"),
+        ("x = 1\n", "f.star:1: `x` is not a table"),
         (
             "\n\nrecord = {'file': 'a', 'interval_s': 'z'}\n",
             "f.star:3: `record.interval_s`: Expected `float`",
         ),
         (
             "record = {\n 'file': 'a',\n 'slot_s': 7,\n}\n",
-            "f.star:1: `record`: `interval_s` holds a whole number",
+            "f.star:1: `record`: `interval_s` must be a whole number",
         ),
         ("record = {'fil': 'a'}\n", "f.star:1: `record`: Object contains unknown field `fil`"),
         ("record = {}\n", "missing required field `file`"),
