--- a/benchmarks/coverage.py
+++ b/benchmarks/coverage.py
@@ -32,7 +32,7 @@
         [simulate.Demand("x", erlangs, ("g",), **more)],
         seconds,
         seed,
-        warm=10.0,
+        warm_up=10.0,
         slot=max(0.1, seconds / 2000),
     ).records["x"]
     try:
--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -70,7 +70,7 @@
             demands,
             2000.0,
             1000 * seed + run,
-            warm=20.0,
+            warm_up=20.0,
         )
         for name, seen in out.demands.items():
             shares[name].append(seen.lost / seen.calls)
--- a/softswitch/dimension/planner.py
+++ b/softswitch/dimension/planner.py
@@ -384,7 +384,7 @@
     simulated = [simulate.Group(g.name, circuits.get(g.name, 0), g.reserve) for g in groups]
     for run in range(runs):
         for name, counts in simulate.run(
-            simulated, demands, length, seed * 1009 + run, warm=20.0
+            simulated, demands, length, seed * 1009 + run, warm_up=20.0
         ).demands.items():
             lost[name].append(counts.lost / max(1, counts.calls))
     return {name: (float(np.mean(x)), float(np.std(x, ddof=1)) / sqrt(runs)) for name, x in lost.items()}
--- a/softswitch/dimension/simulate.py
+++ b/softswitch/dimension/simulate.py
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class CallCounts:
-    """Outcomes of the calls of one demand after the warm-up."""
+    """Outcomes of the calls of one demand after the warm_up-up."""
 
     calls: int = 0
     attempts: int = 0
@@ -113,10 +113,10 @@
     demands: Sequence[Demand],
     seconds: float,
     seed: int,
-    warm: float = 0.0,
+    warm_up: float = 0.0,
     slot: float = 0.0,
 ) -> Outcome:
-    """Simulates a warm-up of `warm` and then `seconds` of traffic, and counts in the second part only.
+    """Simulates a warm_up-up of `warm_up` and then `seconds` of traffic, and counts in the second part only.
 
     A `slot` over 0 makes records. Holding times are exponential. The same seed and demands give the same
     calls for any groups.
@@ -129,7 +129,7 @@
             raise OutOfRangeError(f"demand {d.name}: its route names {', '.join(unknown) or 'no group'}")
         routes.append([by_name[name] for name in d.route])
     check_range("seconds", seconds, 0, 1e12, exclude_low=True)
-    until = warm + seconds
+    until = warm_up + seconds
     seeds = np.random.SeedSequence(seed).spawn(2 * len(demands))
     events: list[tuple[float, int, int, int, float]] = []  # time, type, demand, group or attempt, start
     randoms, holding_times = [], []
@@ -144,7 +144,7 @@
     order = order[np.argsort(order[:, 0], kind="stable")]
     free = [g.circuits for g in groups]
     capacities = [g.circuits for g in groups]
-    carried, updated_at = [0.0] * len(groups), [warm] * len(groups)  # carried: circuits times time
+    carried, updated_at = [0.0] * len(groups), [warm_up] * len(groups)  # carried: circuits times time
     outcome = Outcome({d.name: CallCounts() for d in demands}, {}, {})
     counts = [outcome.demands[d.name] for d in demands]
     slots = int(np.ceil(seconds / slot)) if slot else 0
@@ -154,20 +154,20 @@
 
     def seize(g: int, width: int, now: float) -> None:
         """Seizes circuits of a group; a negative width releases them."""
-        if now > warm:
+        if now > warm_up:
             carried[g] += (capacities[g] - free[g]) * (now - updated_at[g])
             updated_at[g] = now
         free[g] -= width
 
     def attempt(now: float, n: int, nth: int) -> None:
-        d, s, counted = demands[n], counts[n], now >= warm
+        d, s, counted = demands[n], counts[n], now >= warm_up
         record = records[n]
         if counted:
             s.calls += nth == 0
             s.attempts += 1
             if record is not None:
                 (record.redials if nth else record.first_attempts)[
-                    min(slots - 1, int((now - warm) / slot))
+                    min(slots - 1, int((now - warm_up) / slot))
                 ] += 1
         for k, g in enumerate(routes[n]):
             reserved = groups[g].reserve if k else 0
@@ -195,8 +195,8 @@
                 continue
             seize(detail, -demands[n].width, now)
             record = records[n]
-            if record is not None and now > warm:
-                record.erlang_time += now - max(start, warm)
+            if record is not None and now > warm_up:
+                record.erlang_time += now - max(start, warm_up)
                 record.ended += 1
                 record.sum_squared_hold += (now - start) ** 2
 
@@ -209,7 +209,7 @@
         if event_type == 0:  # the end of a call
             record = records[n]
             if record is not None:
-                record.erlang_time += until - max(start, warm)
+                record.erlang_time += until - max(start, warm_up)
     for n, g in enumerate(groups):
         seize(n, 0, until)
         outcome.carried[g.name] = carried[n] / seconds
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -31,7 +31,7 @@
         [simulate.Demand("x", erlangs, ("g",), **more)],
         seconds,
         seed,
-        warm=10.0,
+        warm_up=10.0,
         slot=slot,
     ).records["x"]
     return traffic.Sample(
@@ -45,7 +45,7 @@
 
 
 def test_simulation_agrees_with_theory():
-    out = simulate.run([simulate.Group("g", 10)], [simulate.Demand("x", 8, ("g",))], 20_000, 1, warm=20)
+    out = simulate.run([simulate.Group("g", 10)], [simulate.Demand("x", 8, ("g",))], 20_000, 1, warm_up=20)
     x = out.demands["x"]
     assert x.lost / x.calls == pytest.approx(loss.erlang_b(10, 8), rel=0.03)
     assert out.carried["g"] == pytest.approx(8 * (1 - loss.erlang_b(10, 8)), rel=0.02)
@@ -54,7 +54,7 @@
         [simulate.Demand("a", 8, ("g",)), simulate.Demand("b", 2, ("g",), width=4)],
         20_000,
         2,
-        warm=20,
+        warm_up=20,
     )
     want = widths.blocking(20, [widths.Stream(8), widths.Stream(2, 4)])
     got = [wide.demands[n].lost / wide.demands[n].calls for n in ("a", "b")]
@@ -64,7 +64,7 @@
         [simulate.Demand("a", 10, ("1", "2")), simulate.Demand("b", 8, ("2", "1"))],
         20_000,
         3,
-        warm=20,
+        warm_up=20,
     )
     pair = mutual.pair((8, 14), (10, 8), (0, 3))
     assert both.demands["a"].lost / both.demands["a"].calls == pytest.approx(pair.first, rel=0.05)
@@ -77,7 +77,7 @@
         [simulate.Demand("a", 8, ("1", "2"))],
         20_000,
         4,
-        warm=20,
+        warm_up=20,
     )
     assert over.carried["2"] == pytest.approx(peaked_traffic.overflow(6, 8)[0], rel=0.04)
     peaks = simulate.run([simulate.Group("g", 16)], [simulate.Demand("x", 8, ("g",), on=2, off=2)], 40_000, 5)
