--- a/softswitch/dimension/simulate.py
+++ b/softswitch/dimension/simulate.py
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class CallCounts:
-    """Outcomes of the calls of one demand after the warm_up-up."""
+    """Outcomes of the calls of one demand after the warm-up."""
 
     calls: int = 0
     attempts: int = 0
@@ -116,7 +116,7 @@
     warm_up: float = 0.0,
     slot: float = 0.0,
 ) -> Outcome:
-    """Simulates a warm_up-up of `warm_up` and then `seconds` of traffic, and counts in the second part only.
+    """Simulates a warm-up of `warm_up` and then `seconds` of traffic, and counts in the second part only.
 
     A `slot` over 0 makes records. Holding times are exponential. The same seed and demands give the same
     calls for any groups.
