--- a/softswitch/dimension/planner.py
+++ b/softswitch/dimension/planner.py
@@ -11,7 +11,7 @@
   that were evaluated.
 
 If `MAX_PROGRAMS` integer programs do not solve a cluster, its choices are enumerated in the order of a lower
-bound: the cost of the direct groups, and of the fewest circuits that the first kind of cut allows for the
+bound: the cost of the direct groups, and of the fewest circuits that the first type of cut allows for the
 final group. The enumeration ends when the lower bound, or the bound of the last integer program, reaches the
 cost of the best choice found.
 """
@@ -42,7 +42,7 @@
 )
 
 MAX_PROGRAMS = 12  # integer programs solved for one cluster before its choices are enumerated
-MAX_CHOICES = 4_000_000  # of the modules of the direct groups, for the enumeration
+MAX_CHOICES = 4_000_000  # max combinations of modules of the direct groups to enumerate
 
 
 class InfeasibleError(Exception):
@@ -63,7 +63,10 @@
 
 
 def clusters(groups: Sequence[Group], streams: Sequence[Stream]) -> list[tuple[list[Group], Group]]:
-    """Returns (groups that overflow, their final group) of each cluster; a single group is a final group."""
+    """Returns (direct groups, final group) of each cluster.
+
+    A group without an overflow that no other group overflows to is a cluster of its own.
+    """
     return [
         ([g for g in groups if g.overflow == final.name], final) for final in groups if not final.overflow
     ]
@@ -103,7 +106,7 @@
         ]
 
     def max_choice(self) -> tuple[int, ...]:
-        """Returns the choice with the most useful modules of each group."""
+        """Returns the largest choice: all useful modules of the direct groups, and all of the final group."""
         return (*(len(table) - 1 for table in self.overflow_tables), self.final.max_modules)
 
     def cost(self, choice: tuple[int, ...]) -> float:
--- a/softswitch/dimension/simulate.py
+++ b/softswitch/dimension/simulate.py
@@ -116,7 +116,7 @@
     warm_up: float = 0.0,
     slot: float = 0.0,
 ) -> Outcome:
-    """Simulates a warm-up of `warm_up` and then `seconds` of traffic, and counts in the second part only.
+    """Simulates a warm-up of `warm_up` and then `seconds` of traffic, which alone is counted.
 
     A `slot` over 0 makes records. Holding times are exponential. The same seed and demands give the same
     calls for any groups.
@@ -131,7 +131,8 @@
     check_range("seconds", seconds, 0, 1e12, exclude_low=True)
     until = warm_up + seconds
     seeds = np.random.SeedSequence(seed).spawn(2 * len(demands))
-    events: list[tuple[float, int, int, int, float]] = []  # time, type, demand, group or attempt, start
+    # (time, 0 for the end of a call or 1 for a redial, demand, group or number of the attempt, start)
+    events: list[tuple[float, int, int, int, float]] = []
     randoms, holding_times = [], []
     first_attempts = []
     for n, d in enumerate(demands):
@@ -144,7 +145,8 @@
     order = order[np.argsort(order[:, 0], kind="stable")]
     free = [g.circuits for g in groups]
     capacities = [g.circuits for g in groups]
-    carried, updated_at = [0.0] * len(groups), [warm_up] * len(groups)  # carried: circuits times time
+    # Time integral of the busy circuits of each group after the warm-up, and the time of its last update.
+    carried, updated_at = [0.0] * len(groups), [warm_up] * len(groups)
     outcome = Outcome({d.name: CallCounts() for d in demands}, {}, {})
     counts = [outcome.demands[d.name] for d in demands]
     slots = int(np.ceil(seconds / slot)) if slot else 0
--- a/softswitch/measure/record.py
+++ b/softswitch/measure/record.py
@@ -120,29 +120,38 @@
         (arrivals.redials if redial else arrivals.first_attempts)[n] += 1
 
     def attempt_settled(
-        self, now: float, tried: int, took: int, call_class: str, outcome: str, delay: float, redial: bool
+        self,
+        now: float,
+        tried: int,
+        carried_by: int,
+        call_class: str,
+        outcome: str,
+        delay: float,
+        redial: bool,
     ) -> Occupancy | None:
         """Counts the outcome of a call setup after `delay` ms.
 
-        `tried` is the first cell tried, `took` the cell that accepted the call, or -1. Returns the occupancy
-        to pass to `call_ended` if the call is established, else None.
+        `tried` is the first cell tried, `carried_by` the cell that accepted the call, or -1. Returns the
+        occupancy to pass to `call_ended` if the call is established, else None.
         """
         if now >= self.ends_at:
             self.roll_over(now)
-        key = (tried, took, call_class)
+        key = (tried, carried_by, call_class)
         outcomes = self.routes.get(key)
         if outcomes is None:
-            outcomes = self._entry(self.routes, key, (OTHER, OTHER if took >= 0 else -1, "other"), Outcomes)
+            outcomes = self._entry(
+                self.routes, key, (OTHER, OTHER if carried_by >= 0 else -1, "other"), Outcomes
+            )
         outcomes.counts[outcome] += 1
         if outcome not in ("carried", "late"):
             outcomes.lost_ms += delay
             return None
         outcomes.redials_carried += redial
         outcomes.delay.record_value(min(MAX_MS, max(1, int(delay))))
-        occupancy = self.occupied.get((took, call_class))
+        occupancy = self.occupied.get((carried_by, call_class))
         if occupancy is None:
             occupancy = self._entry(
-                self.occupied, (took, call_class), (OTHER, "other"), lambda: Occupancy(updated_at=now)
+                self.occupied, (carried_by, call_class), (OTHER, "other"), lambda: Occupancy(updated_at=now)
             )
         occupancy.add(now, 1)
         return occupancy
@@ -185,7 +194,7 @@
         self.save(self._to_dict(end))
         self.occupied = {key: o for key, o in self.occupied.items() if o.active}
         self._clear()
-        # After a stall of the process, the intervals without data are skipped, and not saved as empty ones.
+        # After a stall of the process, the intervals without data are skipped. They are not saved as empty.
         missed = int((now - self.ends_at) // self.interval) if now > self.ends_at else 0
         self.started_at = end + missed * self.interval
         for o in self.occupied.values():
@@ -204,14 +213,14 @@
             "routes": [
                 {
                     "tried": tried,
-                    "took": took,
+                    "took": carried_by,
                     "class": call_class,
                     **o.counts,
                     "redials_carried": o.redials_carried,
                     "lost_ms": round(o.lost_ms, 3),
                     "delay": o.delay,
                 }
-                for (tried, took, call_class), o in self.routes.items()
+                for (tried, carried_by, call_class), o in self.routes.items()
             ],
             "occupied": [
                 {
--- a/softswitch/measure/recording.py
+++ b/softswitch/measure/recording.py
@@ -48,10 +48,8 @@
         self.switch, self.writer, self.in_thread, self.objectives = switch, writer, in_thread, objectives
         self.table: Any = None
         self.pending: deque[dict[str, Any]] = deque()
-        self.writing, self.failing = (
-            Lock(),
-            False,
-        )  # used by the writing threads only, never by the event loop
+        # Used by the writing threads only, never by the event loop.
+        self.writing, self.failing = Lock(), False
         self.record = TrafficRecord(interval, slot, clock, self._save, switch.wheel.now)
         self._tick()
 
@@ -87,9 +85,8 @@
     def call_ended(self, call: Call) -> None:
         """Records the end of an established call."""
         now = self.switch.wheel.now
-        if (
-            call.record_slot is not None and call.established_at is not None
-        ):  # otherwise the call started before the record
+        # A call that started before the record has no record slot.
+        if call.record_slot is not None and call.established_at is not None:
             self.record.call_ended(now, call.record_slot, now - call.established_at)
 
     # writing to the file
