--- a/softswitch/measure/__init__.py
+++ b/softswitch/measure/__init__.py
@@ -1,1 +1,1 @@
-"""What a softswitch measures of its traffic, and the file it is kept in."""
+"""The traffic record of a softswitch, its file, and its aggregation into streams."""
--- a/softswitch/operator/__init__.py
+++ b/softswitch/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operator file: one Starlark file, evaluated without I/O and checked against typed tables."""
+"""The operator file: a Starlark file that is evaluated without I/O and checked against typed tables."""
