--- a/benchmarks/coverage.py
+++ b/benchmarks/coverage.py
@@ -30,23 +30,25 @@
     """Simulates a case with a seed and checks the estimate; returns (name, None) if there is no estimate."""
     name, seed = case
     erlangs, seconds, options, circuits = CASES[name]
-    record = simulate.play(
+    record = simulate.run(
         [simulate.Group("g", circuits)],
         [simulate.Demand("x", erlangs, ("g",), **options)],
         seconds,
         seed,
-        warm=10.0,
+        warm_up=10.0,
         slot=max(0.1, seconds / 2000),
     ).records["x"]
     try:
         estimate = traffic.estimate(
-            traffic.Sample(record.slot, record.first, record.erlang_time, record.ended, record.held2)
+            traffic.Sample(
+                record.slot, record.first_attempts, record.erlang_time, record.ended, record.sum_squared_hold
+            )
         )
-    except traffic.OutOfRange:
+    except traffic.OutOfRangeError:
         return name, None
     bootstrap = estimate.bootstrap
     z = (
-        peaked_traffic.switched(erlangs, options["on"], options["off"])[1]
+        peaked_traffic.interrupted_poisson(erlangs, options["on"], options["off"])[1]
         if options.get("on", inf) < inf
         else 1.0
     )
--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -47,11 +47,11 @@
     groups, streams = random_network(seed, 1, random.choice((1, 2, 3)), random.choice((4, 6)))
     try:
         cost = planner.plan(groups, streams).cost
-    except planner.Infeasible:
+    except planner.InfeasibleError:
         cost = None
     try:
-        best = planner.brute(groups, streams)[0]
-    except planner.Infeasible:
+        best = planner.brute_force(groups, streams)[0]
+    except planner.InfeasibleError:
         best = None
     return cost, best
 
@@ -65,19 +65,19 @@
     streams = [Stream(s.name, s.group, s.erlangs, s.target) for s in streams]
     try:
         plan = planner.plan(groups, streams)
-    except planner.Infeasible:
+    except planner.InfeasibleError:
         return []
     demands = [
         simulate.Demand(s.name, s.erlangs, (s.group, "f0") if s.group != "f0" else ("f0",)) for s in streams
     ]
     losses = {s.name: [] for s in streams}
     for run in range(10):
-        outcome = simulate.play(
+        outcome = simulate.run(
             [simulate.Group(g.name, plan.circuits[g.name]) for g in groups],
             demands,
             2000.0,
             1000 * seed + run,
-            warm=20.0,
+            warm_up=20.0,
         )
         for name, counts in outcome.demands.items():
             losses[name].append(counts.lost / counts.calls)
@@ -94,17 +94,17 @@
 
 
 def simulate_checked_plan(seed):
-    """Plans a network with `planner.checked`, which simulates plans, and simulates the result on other seeds.
+    """Plans a network with `planner.verified_plan` and simulates the result on other seeds.
 
     Returns (stream, target, simulated loss, its standard error) of each stream.
     """
     groups, streams = random_network(seed, 1, 3, 14)
     streams = [Stream(s.name, s.group, s.erlangs, s.target) for s in streams]
     try:
-        plan, _ = planner.checked(groups, streams)
-    except planner.Infeasible:
+        plan, _ = planner.verified_plan(groups, streams)
+    except planner.InfeasibleError:
         return []
-    losses = planner.lost_in_play(groups, streams, plan.circuits, "middle", 77_000 + seed, 10, 2000.0)
+    losses = planner.simulated_loss(groups, streams, plan.circuits, "middle", 77_000 + seed, 10, 2000.0)
     return [(s.name, s.target, *losses[s.name]) for s in streams]
 
 
@@ -120,10 +120,11 @@
         )
         groups, streams = random_network(3, 20, 4, 14)
         started_at = time.perf_counter()
-        plan = planner.plan(groups, streams, each=pool.map)
+        plan = planner.plan(groups, streams, map_function=pool.map)
         print(
             f"{len(groups)} groups in {time.perf_counter() - started_at:.1f} s: cost {plan.cost:.1f}, "
-            f"{plan.rounds} integer programs, {plan.evaluated} choices evaluated, monotone {plan.monotone}"
+            f"{plan.programs_solved} integer programs, {plan.choices_evaluated} choices evaluated, "
+            f"monotone {plan.monotone}"
         )
         simulated = [row for rows in pool.map(simulate_plan, range(40)) for row in rows]
         checked = [row for rows in pool.map(simulate_checked_plan, range(100, 160)) for row in rows]
--- a/benchmarks/record_cost.py
+++ b/benchmarks/record_cost.py
@@ -9,7 +9,7 @@
 from statistics import median
 
 from softswitch.measure.record import TrafficRecord
-from softswitch.measure.recordfile import encoded
+from softswitch.measure.recordfile import encode_histogram
 
 
 def run_day(record, seconds, seed):
@@ -49,14 +49,16 @@
     for n in range(60 * 62):
         now = n * 1000 / 62
         dest, call_class = n % 3, ("price-check", "save-quote")[n % 5 == 0]
-        record.came(now, dest, call_class, False)
-        calls.append((now, record.settled(now, dest, dest, call_class, "carried", 10 + n % 90, False)))
+        record.attempt_received(now, dest, call_class, False)
+        calls.append(
+            (now, record.attempt_settled(now, dest, dest, call_class, "carried", 10 + n % 90, False))
+        )
         if len(calls) > 500:
             established_at, occupancy = calls.pop(0)
-            record.over(now, occupancy, now - established_at)
+            record.call_ended(now, occupancy, now - established_at)
     memory = tracemalloc.get_traced_memory()[0]
-    record.turn(60_000.0)
-    entry = len(orjson.dumps(saved[0], default=encoded))
+    record.roll_over(60_000.0)
+    entry = len(orjson.dumps(saved[0], default=encode_histogram))
     print(
         f"record in memory: {memory / 1024:.0f} KiB with 500 established calls; "
         f"an entry of 60 s: {entry} bytes; the entries of a day: {entry * 1440 / 1e6:.1f} MB"
--- a/benchmarks/replay_sockets.py
+++ b/benchmarks/replay_sockets.py
@@ -73,9 +73,9 @@
     """Runs a pattern in this process; returns predicted and observed figures as a dict."""
     from softswitch.cli.trunks import make_sample
     from softswitch.dimension import loss, mutual, peaked_traffic, report, traffic, widths
-    from softswitch.dimension.traffic import joined
+    from softswitch.dimension.traffic import merge_samples
     from softswitch.measure.recordfile import read
-    from softswitch.measure.streams import measured
+    from softswitch.measure.streams import aggregate_streams
     from softswitch.standin.fleet import Day, Fleet
 
     day = Day(
@@ -88,34 +88,36 @@
         patience=2.0,
     )
     result = Fleet(day).play()
-    streams = measured([read(p) for p in result.records]).streams
-    samples = {(s.dest, s.klass): make_sample(s) for s in streams}
-    estimates = {k: report.steady(s) for k, s in samples.items()}
+    streams = aggregate_streams([read(p) for p in result.records]).streams
+    samples = {(s.dest, s.call_class): make_sample(s) for s in streams}
+    estimates = {k: report.estimate_busiest(s) for k, s in samples.items()}
     circuits = [e.circuits for e in day.engines]
     erlangs = {k: entire.erlangs.value for k, (_, entire) in estimates.items()}
     tallies = result.tallies
     attempts = sum(t.tries for t in tallies.values())
     observed = sum(t.codes[503] + t.codes[500] for t in tallies.values()) / attempts
     total = sum(erlangs.values())
-    lost = sum(s.lost_tries for s in streams)
+    lost = sum(s.lost_attempts for s in streams)
     # mean time that calls without a circuit were queued, in holding times
     queued = sum(s.lost_seconds for s in streams) / max(1, lost) / HOLDING_TIME
-    queueing_factor = loss.erlang_held(sum(circuits), total, queued) / loss.erlang_b(sum(circuits), total)
+    queueing_factor = loss.loss_with_fixed_wait(sum(circuits), total, queued) / loss.erlang_b(
+        sum(circuits), total
+    )
     plain = loss.erlang_b(sum(circuits), total)
     details, need = {}, None
     if name == "peaky":
         best = estimates[0, "x"][0]
         z, phases = best.peakedness.value, traffic.phases(samples[0, "x"], best.hold.value)
-        predicted = peaked_traffic.switched_blocking(circuits[0], total, *phases)[0]
+        predicted = peaked_traffic.interrupted_poisson_blocking(circuits[0], total, *phases)[0]
         need = (
-            loss.whole(loss.circuits_for(total, 0.01)),
-            loss.whole(peaked_traffic.circuits_for(total, 0.01, z)),
+            loss.round_up(loss.circuits_for(total, 0.01)),
+            loss.round_up(peaked_traffic.circuits_for(total, 0.01, z)),
         )
         details = {
             "two moments": round(peaked_traffic.blocking(circuits[0], total, z), 4),
             "phases": phases,
             "z": z,
-            "z true": peaked_traffic.switched(16, 2, 2)[1],
+            "z true": peaked_traffic.interrupted_poisson(16, 2, 2)[1],
         }
     elif name == "surge":
         segments, hold = estimates[0, "x"][1].segments, estimates[0, "x"][1].hold.value
@@ -124,13 +126,13 @@
             c * loss.erlang_b(circuits[0], s.rate * hold) for c, s in zip(calls, segments, strict=True)
         ) / sum(calls)
         peak = max(s.rate for s in segments) * hold
-        need = (loss.whole(loss.circuits_for(total, 0.01)), loss.whole(loss.circuits_for(peak, 0.01)))
+        need = (loss.round_up(loss.circuits_for(total, 0.01)), loss.round_up(loss.circuits_for(peak, 0.01)))
         details = {"segments": [round(s.rate * hold, 2) for s in segments]}
     elif name == "two widths":
         blockings = widths.blocking(
             circuits[0], [widths.Stream(erlangs[0, "x"]), widths.Stream(erlangs[0, "wide"], 3)]
         )
-        rates = [float(samples[0, k].first.sum()) for k in ("x", "wide")]
+        rates = [float(samples[0, k].first_attempts.sum()) for k in ("x", "wide")]
         predicted = sum(r * b for r, b in zip(rates, blockings, strict=True)) / sum(rates)
         by_class = {k: (t.codes[503] + t.codes[500]) / t.tries for (k, _), t in tallies.items()}
         details = {
@@ -154,7 +156,7 @@
         # The number of attempts is limited, so the redial probability is the observed fraction of blocked
         # attempts that were redialed.
         redials = sum(s.redials for s in samples.values())
-        blocked = sum(s.lost_tries for s in streams)
+        blocked = sum(s.lost_attempts for s in streams)
         predicted, _ = loss.erlang_b_redials(circuits[0], total, min(0.99, redials / max(1, blocked)))
         details = {"again seen": round(redials / max(1, blocked), 3)}
     else:
@@ -162,10 +164,10 @@
     loss_only = predicted
     # The factor is exact for random traffic; for other traffic it is that of random traffic of the same load.
     predicted *= queueing_factor
-    sample = joined(list(samples.values()))
+    sample = merge_samples(list(samples.values()))
     return {
         "day": name,
-        "calls": int(sample.first.sum()),
+        "calls": int(sample.first_attempts.sum()),
         "erlangs": round(total, 2),
         "observed": round(observed, 4),
         "noise": round(1.96 * sqrt(observed * (1 - observed) / attempts), 4),
--- a/softswitch/cli/config.py
+++ b/softswitch/cli/config.py
@@ -8,7 +8,7 @@
 import typer
 
 from softswitch.cli import exit_with_error
-from softswitch.operator.load import BadOperatorFile, load
+from softswitch.operator.load import OperatorFileError, load
 from softswitch.operator.tables import Operator
 
 
@@ -26,7 +26,7 @@
 def _load(file: str) -> Operator:
     try:
         return load(file)
-    except BadOperatorFile as e:
+    except OperatorFileError as e:
         exit_with_error(e)
 
 
--- a/softswitch/cli/plots.py
+++ b/softswitch/cli/plots.py
@@ -8,22 +8,24 @@
 
 from softswitch.cli.traffic import format_cell
 from softswitch.dimension import network, peaked_traffic, planner
-from softswitch.measure.streams import Measured
+from softswitch.measure.streams import MeasuredTraffic
 
 
-def plot_over_time(measured: Measured) -> Any:
+def plot_over_time(measured: MeasuredTraffic) -> Any:
     """Plots over time the first attempts per second of each stream and the established calls at each cell."""
     figure = Figure(figsize=(9, 6), layout="constrained")
     above, below = figure.subplots(2, 1)
     for stream in measured.streams:
-        width = max(1, len(stream.first) // 120)
-        n = len(stream.first) // width
-        rates = [sum(stream.first[k * width : (k + 1) * width]) / width / measured.slot for k in range(n)]
+        width = max(1, len(stream.first_attempts) // 120)
+        n = len(stream.first_attempts) // width
+        rates = [
+            sum(stream.first_attempts[k * width : (k + 1) * width]) / width / measured.slot for k in range(n)
+        ]
         above.step(
             [k * width * measured.slot for k in range(n)],
             rates,
             where="post",
-            label=f"{format_cell(stream.dest)}/{stream.klass}",
+            label=f"{format_cell(stream.dest)}/{stream.call_class}",
         )
     above.set(xlabel="s", ylabel="first attempts per second")
     above.legend(fontsize="small", ncols=3)
--- a/softswitch/cli/traffic.py
+++ b/softswitch/cli/traffic.py
@@ -11,7 +11,7 @@
 
 from softswitch.cli import exit_with_error
 from softswitch.measure.record import OTHER, OUTCOMES, histogram
-from softswitch.measure.recordfile import BadRecord, read
+from softswitch.measure.recordfile import RecordFileError, read
 
 
 def application() -> typer.Typer:
@@ -94,15 +94,15 @@
     """Shows the contents of a traffic record: outcomes by route, load by cell."""
     try:
         contents = read(file)
-    except BadRecord as e:
+    except RecordFileError as e:
         exit_with_error(e)
     totals = summary(contents.entries)
     if as_json:
-        print(orjson.dumps({"file": file, "cut": contents.cut} | totals).decode())
+        print(orjson.dumps({"file": file, "cut": contents.stop_reason} | totals).decode())
         return
     console = Console()
-    if contents.cut:
-        console.print(f"{file}: {contents.cut}", markup=False)
+    if contents.stop_reason:
+        console.print(f"{file}: {contents.stop_reason}", markup=False)
     console.print(f"{totals['intervals']} intervals, {totals['seconds']:.0f} s")
     console.print(routes_table(totals["routes"]))
     console.print(cells_table(totals["cells"]))
--- a/softswitch/cli/trunks.py
+++ b/softswitch/cli/trunks.py
@@ -19,10 +19,10 @@
 from softswitch.cli import exit_with_error
 from softswitch.cli.traffic import format_cell
 from softswitch.dimension import loss, network, peaked_traffic, planner, report
-from softswitch.dimension.loss import OutOfRange
+from softswitch.dimension.loss import OutOfRangeError
 from softswitch.dimension.traffic import Interval, Sample
-from softswitch.measure.recordfile import BadRecord, read
-from softswitch.measure.streams import Measured, Stream, measured
+from softswitch.measure.recordfile import RecordFileError, read
+from softswitch.measure.streams import MeasuredTraffic, Stream, aggregate_streams
 
 MIN_GROUPS_FOR_POOL = 24  # plans with at least this many groups are computed by several processes
 
@@ -73,7 +73,7 @@
         total = erlangs
         if redials:
             if peakedness != 1.0 or day_variance:
-                raise OutOfRange(
+                raise OutOfRangeError(
                     "--redials goes only with random traffic: omit --peakedness and --day-variance"
                 )
             fraction, total = loss.erlang_b_redials(circuits, erlangs, redials)
@@ -82,7 +82,7 @@
         else:
             fraction = peaked_traffic.blocking(circuits, erlangs, peakedness)
         plain = loss.erlang_b(circuits, erlangs)
-    except OutOfRange as e:
+    except OutOfRangeError as e:
         exit_with_error(e)
     result = {
         "blocking": fraction,
@@ -111,10 +111,10 @@
     """Computes the circuits that keep the blocking within a target."""
     try:
         exact = peaked_traffic.circuits_for(erlangs, target, peakedness)
-        plain = loss.whole(loss.circuits_for(erlangs, target))
-        needed = loss.whole(exact)
+        plain = loss.round_up(loss.circuits_for(erlangs, target))
+        needed = loss.round_up(exact)
         fraction = peaked_traffic.blocking(needed, erlangs, peakedness)
-    except OutOfRange as e:
+    except OutOfRangeError as e:
         exit_with_error(e)
     result = {
         "circuits": needed,
@@ -142,20 +142,20 @@
 
     return Sample(
         stream.slot,
-        np.array(stream.first, float),
+        np.array(stream.first_attempts, float),
         stream.call_seconds,
         stream.ended,
-        stream.held2,
+        stream.sum_squared_hold,
         stream.redials,
         stream.blocked,
     )
 
 
-def load_records(files: list[str]) -> Measured:
+def load_records(files: list[str]) -> MeasuredTraffic:
     """Returns the streams of traffic records; exits with one line if a file is invalid."""
     try:
-        return measured([read(file) for file in files])
-    except BadRecord as e:
+        return aggregate_streams([read(file) for file in files])
+    except RecordFileError as e:
         exit_with_error(e)
 
 
@@ -179,20 +179,20 @@
     rows: list[dict[str, Any]] = []
     streams: list[dict[str, Any]] = []
     for stream in measurements.streams:
-        name = f"{format_cell(stream.dest)}/{stream.klass}"
+        name = f"{format_cell(stream.dest)}/{stream.call_class}"
         try:
-            best, entire = report.steady(make_sample(stream), level, precision)
-            need = report.circuits(best, target)
-        except OutOfRange as e:
-            too_short.append({"dest": stream.dest, "class": stream.klass, "why": str(e)})
+            best, entire = report.estimate_busiest(make_sample(stream), level, precision)
+            need = report.required_circuits(best, target)
+        except OutOfRangeError as e:
+            too_short.append({"dest": stream.dest, "class": stream.call_class, "why": str(e)})
             notes.append(f"{name}: {e}")
             continue
-        notes += report.sentences(name, best, entire, precision)
-        attempts = stream.carried + stream.lost_tries
+        notes += report.notes(name, best, entire, precision)
+        attempts = stream.carried + stream.lost_attempts
         rows.append(
             {
                 "dest": stream.dest,
-                "class": stream.klass,
+                "class": stream.call_class,
                 "erlangs": interval_as_dict(best.erlangs),
                 "bootstrap": interval_as_dict(best.bootstrap) if best.bootstrap else None,
                 "rate": interval_as_dict(best.rate),
@@ -200,17 +200,17 @@
                 "peakedness": interval_as_dict(best.peakedness),
                 "method": best.method,
                 "seconds": best.seconds,
-                "first": best.first,
+                "first": best.first_attempts,
                 "redial_share": entire.redial_share,
                 "steady": entire.steady,
-                "segments": [{"since": s.since, "to": s.to, "rate": s.rate} for s in entire.segments],
+                "segments": [{"since": s.start, "to": s.end, "rate": s.rate} for s in entire.segments],
                 "more_seconds": best.more_seconds,
-                "lost_share": stream.lost_tries / attempts if attempts else 0.0,
+                "lost_share": stream.lost_attempts / attempts if attempts else 0.0,
                 "circuits": {
                     "low": need.low,
                     "middle": need.middle,
                     "high": need.high,
-                    "erlang_b": need.plain,
+                    "erlang_b": need.erlang_b,
                 },
             }
         )
@@ -219,7 +219,7 @@
             {
                 "name": name,
                 "group": format_cell(stream.dest),
-                "class": stream.klass,
+                "class": stream.call_class,
                 "erlangs": best.erlangs.value,
                 "low": best.erlangs.low,
                 "high": best.erlangs.high,
@@ -346,7 +346,7 @@
     ]
     try:
         network.check(groups, streams)
-    except OutOfRange as e:
+    except OutOfRangeError as e:
         exit_with_error(f"{file}: {e}")
     return groups, streams
 
@@ -383,14 +383,14 @@
     try:
         with suppress_solver_output():
             if check:
-                return groups, streams, planner.checked(groups, streams, end)[0]
+                return groups, streams, planner.verified_plan(groups, streams, end)[0]
             if len(groups) >= MIN_GROUPS_FOR_POOL:
                 with ProcessPoolExecutor() as pool:
                     return groups, streams, planner.plan(groups, streams, end, pool.map)
             return groups, streams, planner.plan(groups, streams, end)
-    except OutOfRange as e:
+    except OutOfRangeError as e:
         exit_with_error(f"{file}: {e}")
-    except planner.Infeasible as e:
+    except planner.InfeasibleError as e:
         print(f"willowhitch: {file}: no plan: {e}; allow more modules or a higher target", file=sys.stderr)
         raise SystemExit(1) from None
 
@@ -499,7 +499,7 @@
         circuits_by_group = best.circuits
     try:
         ends = planner.what_if(groups, streams, circuits_by_group, lose, factor)
-    except OutOfRange as e:
+    except OutOfRangeError as e:
         exit_with_error(f"{file}: {e}")
     if as_json:
         print(
@@ -541,7 +541,7 @@
         else:
             figure = plots.plot_blocking(erlangs, low or erlangs, high or erlangs, peakedness)
         figure.savefig(out, dpi=120)
-    except OutOfRange as e:
+    except OutOfRangeError as e:
         exit_with_error(e)
     except (OSError, ValueError) as e:
         exit_with_error(f"{out}: {e}; name a writable .png, .svg or .pdf file")
--- a/tests/test_budget_processes.py
+++ b/tests/test_budget_processes.py
@@ -13,7 +13,7 @@
 from support.harness import ROOT, format_address
 from test_fleet_processes import Process, own_address, until
 
-from softswitch.operator.load import BadOperatorFile, of_text
+from softswitch.operator.load import OperatorFileError, parse_text
 
 FLEET = 'fleet = {"name": "f", "address": "10.0.0.1:7946", "seeds": ["10.0.0.2:7946"]}\n'
 ALLOCATION = 'allocation = {"members": ["10.0.0.1:7946", "10.0.0.2:7946"], "voters": ["10.0.0.1:7946"]}\n'
@@ -107,8 +107,8 @@
     ],
 )
 def test_an_invalid_file_is_rejected_with_the_reason(text, said):
-    with pytest.raises(BadOperatorFile, match="f.star") as refused:
-        of_text(text, "f.star")
+    with pytest.raises(OperatorFileError, match="f.star") as refused:
+        parse_text(text, "f.star")
     assert said in str(refused.value)
 
 
