--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -332,9 +332,9 @@
         from softswitch.standin.faults.budget_model import Model
 
         model = Model(3)
-        for where, start in model.starts().items():
+        for where, start in model.initial_states().items():
             for seed in range(most // 4):
-                if wrong := model.wander(start, seed, STEPS):
+                if wrong := model.random_walk(start, seed, STEPS):
                     return f"way {seed} from '{where}'", wrong
     finally:
         undo()
@@ -357,7 +357,7 @@
 
     members, name, most = task
     model = Model(members)
-    return name, model.explore(model.starts()[name], most)
+    return name, model.explore(model.initial_states()[name], most)
 
 
 def wander(task):
@@ -365,15 +365,17 @@
 
     members, name, first, last, steps = task
     model = Model(members)
-    start = model.starts()[name]
-    return [(name, seed, why) for seed in range(first, last) if (why := model.wander(start, seed, steps))]
+    start = model.initial_states()[name]
+    return [
+        (name, seed, why) for seed in range(first, last) if (why := model.random_walk(start, seed, steps))
+    ]
 
 
 def explore(members, most, ways):
     """All orders from each start, then long ways drawn at random."""
     from softswitch.standin.faults.budget_model import Model
 
-    began, names, states, bad = time.monotonic(), list(Model(members).starts()), 0, 0
+    began, names, states, bad = time.monotonic(), list(Model(members).initial_states()), 0, 0
     with ProcessPoolExecutor(len(sched_getaffinity(0))) as pool:
         explored = pool.map(explore_from, [(members, n, most) for n in names])
         for name, (seen, depth, broken) in explored:
--- a/softswitch/cli/fleet.py
+++ b/softswitch/cli/fleet.py
@@ -242,9 +242,9 @@
     try:
         if live:
             with live:
-                seen = made.seen()
+                seen = made.run_and_report()
         else:
-            seen = made.seen()
+            seen = made.run_and_report()
     except FleetFailed as e:
         bad(e)
     if keep:
@@ -253,9 +253,9 @@
         except OSError as e:
             bad(f"{keep}: {e.strerror}; name a file that can be written")
     if as_json:
-        print(orjson.dumps(seen.told()).decode())
+        print(orjson.dumps(seen.to_dict()).decode())
     else:
-        screen.print(faults_table(seen.told()))
+        screen.print(faults_table(seen.to_dict()))
         if seen.budgets:
             screen.print(budgets_table(seen.budgets))
         screen.print(
@@ -264,7 +264,7 @@
             f"{seen.unanswered} without an answer in time",
             markup=False,
         )
-    raise typer.Exit(0 if seen.settled and not seen.false_gone and not seen.above else 1)
+    raise typer.Exit(0 if seen.settled and not seen.false_gone and not seen.exceeded_budgets else 1)
 
 
 def budgets_of(path: str, members: int) -> list[dict[str, Any]]:
@@ -320,7 +320,7 @@
         table.add_row(
             name,
             play.sites[name],
-            play.meant[n],
+            play.expected_state[n],
             str(states.count("alive")) if said else "-",
             str(states.count("suspect")),
             str(states.count("gone")),
--- a/softswitch/standin/faults/audit.py
+++ b/softswitch/standin/faults/audit.py
@@ -78,7 +78,7 @@
             if book.what == ("repeats" if again else "set-ups") and book.klass in ("", klass):
                 book.came.append(now)
 
-    def told(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         return {
             name: {
                 "whole": b.whole,
@@ -92,10 +92,10 @@
             for name, b in self.books.items()
         }
 
-    def above(self) -> list[str]:
+    def exceeded(self) -> list[str]:
         """The budgets of which somebody saw more than the whole."""
         return [
             name
-            for name, t in self.told().items()
+            for name, t in self.to_dict().items()
             if max(t["most_held"], t["most_spent"], t["most_at_engines"]) > t["whole"]
         ]
--- a/softswitch/standin/faults/budget_model.py
+++ b/softswitch/standin/faults/budget_model.py
@@ -170,7 +170,7 @@
                     self.step(state, "lost" if to in without else "arrives", 0)
             self.step(state, "time", 0)
 
-    def starts(self) -> dict[str, State]:
+    def initial_states(self) -> dict[str, State]:
         """States from which all orders are explored."""
         made: dict[str, State] = {}
         state = self.start()
@@ -212,7 +212,7 @@
                     queue.append((made, depth + 1, (*way, choice)))  # type: ignore[arg-type]
         return len(seen), whole_depth + 1, ""
 
-    def wander(self, start: State, seed: int, steps: int) -> str:
+    def random_walk(self, start: State, seed: int, steps: int) -> str:
         """One long way drawn at random, for what lies deeper; time goes on more often than anything ends."""
         from random import Random
 
--- a/softswitch/standin/faults/drill.py
+++ b/softswitch/standin/faults/drill.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class DrillReport:
     """What a drill showed."""
 
     processes: int
@@ -75,9 +75,9 @@
     looks: int
     unread: int  # views that were asked for and did not come
     budgets: dict[str, Any] = field(default_factory=dict)  # the whole, and the most held, spent and seen
-    above: list[str] = field(default_factory=list)  # budgets of which more than the whole was seen
+    exceeded_budgets: list[str] = field(default_factory=list)  # budgets of which more than the whole was seen
 
-    def told(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         """What was seen, for a JSON object."""
         faults = [
             {
@@ -111,7 +111,7 @@
             },
             "looks": self.looks,
             "unread": self.unread,
-            **({"budgets": self.budgets, "above": self.above} if self.budgets else {}),
+            **({"budgets": self.budgets, "above": self.exceeded_budgets} if self.budgets else {}),
         }
 
     def schedule(self) -> bytes:
@@ -189,7 +189,7 @@
         self.relays: dict[tuple[int, int], Relay] = {}
         self.views: dict[int, Any] = {}
         self.asking: dict[int, float] = {}
-        self.meant: dict[int, str] = dict.fromkeys(range(softswitches), "run")  # run, stopped, ended
+        self.expected_state: dict[int, str] = dict.fromkeys(range(softswitches), "run")  # run, stopped, ended
         self.ready: set[int] = set()
         self.false_gone: dict[str, None] = {}
         self.looks = self.unread = 0
@@ -273,11 +273,11 @@
 
     def should_run(self, n: int) -> bool:
         """Whether it is a fault if this one has ended."""
-        return self.meant[n] != "ended"
+        return self.expected_state[n] != "ended"
 
     def caller_of(self, nth: int) -> Callers | None:
         """The callers of one that runs; one may get a larger share."""
-        up = [c for n, c in enumerate(self.callers) if self.meant[n] == "run" and c.line is not None]
+        up = [c for n, c in enumerate(self.callers) if self.expected_state[n] == "run" and c.line is not None]
         if self.heavy and up and self.draws.random() < self.heavy:
             return up[int(self.now() // self.moves_s) % len(up) if self.moves_s else 0]
         return up[nth % len(up)] if up else None
@@ -318,19 +318,19 @@
     def _do(self, n: int, fault: Fault) -> None:
         program, name = self.programs[n], self.names[n]
         if fault.what in ("kill", "restart", "leave"):
-            if self.meant[n] == "ended":
+            if self.expected_state[n] == "ended":
                 return
-            if self.meant[n] == "stopped":
+            if self.expected_state[n] == "stopped":
                 program.send_signal(signal.SIGCONT)
-            self.meant[n] = "ended"
+            self.expected_state[n] = "ended"
             self.links.away.add(name)
             self.ready.discard(n)
             self.views.pop(n, None)
             if self.audit is not None:
                 self.audit.ended(n)
             program.send_signal(signal.SIGKILL if fault.what == "kill" else signal.SIGTERM)
-        elif fault.what == "stop" and self.meant[n] == "run":
-            self.meant[n] = "stopped"
+        elif fault.what == "stop" and self.expected_state[n] == "run":
+            self.expected_state[n] = "stopped"
             self.links.away.add(name)
             program.send_signal(signal.SIGSTOP)
         elif fault.what == "disk full":
@@ -353,8 +353,8 @@
         for n in members:
             if fault.what in ("kill", "restart", "leave"):
                 self._again(n)
-            elif fault.what == "stop" and self.meant[n] == "stopped":
-                self.meant[n] = "run"
+            elif fault.what == "stop" and self.expected_state[n] == "stopped":
+                self.expected_state[n] = "run"
                 self.links.away.discard(self.names[n])
                 self.programs[n].send_signal(signal.SIGCONT)
             elif fault.what == "disk full" and self.programs[n].poll() is None:
@@ -372,12 +372,12 @@
 
     def _again(self, n: int) -> None:
         """Started anew once the process before has ended."""
-        if self.ending or self.meant[n] == "run":
+        if self.ending or self.expected_state[n] == "run":
             return
         if self.programs[n].poll() is None:
             self.reactor.callLater(AGAIN_AFTER, self._again, n)
             return
-        self.meant[n] = "run"
+        self.expected_state[n] = "run"
         self.programs[n] = self.program(n)
         self.links.touch(self.now() * 1000, (self.names[n],))
 
@@ -415,7 +415,7 @@
             return
         self._judge()
         for n in range(len(self.names)):
-            if self.meant[n] == "run" and n not in self.asking:
+            if self.expected_state[n] == "run" and n not in self.asking:
                 self.asking[n] = self.now()
                 self.looks += 1
                 factory = Query("GET /v1/fleet", if_ok(partial(self._answered, n)))
@@ -429,7 +429,7 @@
         if self.audit is None or self.ending or not self.watched:
             return
         for n in range(len(self.names)):
-            if self.meant[n] == "run":
+            if self.expected_state[n] == "run":
                 asked = [("/v1/budgets", partial(self._holds, n))]
                 asked += [
                     (f"/v1/budgets/{name}", partial(self._spent, n, name))
@@ -459,7 +459,7 @@
         if view is None or "members" not in view:
             self.unread += 1
             return
-        if self.meant[n] != "run":
+        if self.expected_state[n] != "run":
             return
         if n not in self.ready:  # the process that was started anew tells its view
             self.ready.add(n)
@@ -486,7 +486,7 @@
 
     def agree(self) -> bool:
         """All running processes tell one view, and it is true."""
-        running = [n for n in range(len(self.names)) if self.meant[n] == "run"]
+        running = [n for n in range(len(self.names)) if self.expected_state[n] == "run"]
         if any(n not in self.views or n not in self.ready for n in running):
             return False
         if len({self.views[n]["digest"] for n in running}) > 1:
@@ -509,7 +509,7 @@
                 running = [
                     n
                     for n in self.views
-                    if self.meant[n] == "run" and n in self.ready and self.names[n] not in dead
+                    if self.expected_state[n] == "run" and n in self.ready and self.names[n] not in dead
                 ]
                 if running and all(
                     m["state"] not in ("alive", "joining")
@@ -523,7 +523,7 @@
         if not self.ending:
             self._judge()
             for n, program in enumerate(self.programs):
-                if self.meant[n] == "stopped" and program.poll() is None:
+                if self.expected_state[n] == "stopped" and program.poll() is None:
                     program.send_signal(signal.SIGCONT)
         super()._stop()
 
@@ -534,13 +534,13 @@
         for thread in self.pipes:
             thread.join(2.0)
 
-    def seen(self) -> Seen:
+    def run_and_report(self) -> DrillReport:
         """Plays the drill and tells what it showed. FleetFailed if a softswitch did not come up or ended."""
         result = self.play()
         total = result.total()
         settled = self.start_s is not None and all(e.settled is not None for e in self.events)
         settled |= not self.watched
-        return Seen(
+        return DrillReport(
             len(self.names),
             self.places,
             self.day.seed,
@@ -557,6 +557,6 @@
             total.wrong_description,
             self.looks,
             self.unread,
-            self.audit.told() if self.audit else {},
-            self.audit.above() if self.audit else [],
+            self.audit.to_dict() if self.audit else {},
+            self.audit.exceeded() if self.audit else [],
         )
