--- a/softswitch/standin/__init__.py
+++ b/softswitch/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins on the protocol's wire, on loopback: quote engine, notice board, callers; and a fleet of them."""
+"""Stand-ins on the protocol's wire, on loopback: quote engines, watch server, callers; and fleets of them."""
--- a/softswitch/standin/faults/__init__.py
+++ b/softswitch/standin/faults/__init__.py
@@ -1,1 +1,1 @@
-"""What goes wrong between processes and under them: schedules, and what plays them."""
+"""Fault injection between and under processes: schedules, simulations and drills that run them."""
--- a/softswitch/standin/faults/audit.py
+++ b/softswitch/standin/faults/audit.py
@@ -1,8 +1,8 @@
-"""Adds up what real processes hold and spend of budgets, and what came to the engines, and holds it to the
-whole.
+"""Checks budgets from outside: sums what real processes hold, use and send to the engines.
 
-Three witnesses that know nothing of each other: what each process says that it holds, the times at which each
-says that it spent (one machine, so one clock), and the set-ups that the stand-in engines saw.
+It compares three independent sources with the total of each budget: the slots that each process reports to
+hold, the times at which each process reports to have spent one (all run on one machine with one clock), and
+the set-ups that the stand-in engines received.
 """
 
 from __future__ import annotations
@@ -10,90 +10,102 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-FRESH = 800.0  # ms; an answer older than this is not added to the others: a slot rests longer than that
-# Ms that a set-up may take from being spent to being seen at an engine; windows there are so much shorter.
-ON_THE_WAY = 100.0
+# Ms; older reports are left out of a sum. A freed slot cools down for longer, so none is counted twice.
+MAX_REPORT_AGE = 800.0
+# Ms that may pass from spending a slot until an engine receives the set-up; windows at engines are shorter by
+# this time.
+MAX_TRANSIT_TIME = 100.0
 
 
 @dataclass(slots=True)
-class Book:
-    """What was seen of one budget."""
-
-    whole: int
-    over: float  # ms
-    what: str
-    klass: str
-    most_held: int = 0
+class ObservedBudget:
+    """The observed use of one budget."""
+
+    total: int
+    window: float  # ms
+    resource: str
+    call_class: str
+    max_held: int = 0
     spent: dict[tuple[int, float], None] = field(default_factory=dict)  # process and time, ms
-    came: list[float] = field(default_factory=list)  # at the engines, ms
+    arrivals: list[float] = field(default_factory=list)  # at the engines, ms
 
-    def most_spent(self) -> int:
-        return most_within([at for _, at in self.spent], self.over)
+    def max_spent(self) -> int:
+        """The maximum that was spent in any window."""
+        return max_within([at for _, at in self.spent], self.window)
 
-    def most_came(self) -> int:
-        return most_within(self.came, self.over - ON_THE_WAY)
+    def max_arrived(self) -> int:
+        """The maximum that arrived at the engines in any window."""
+        return max_within(self.arrivals, self.window - MAX_TRANSIT_TIME)
 
 
-def most_within(times: list[float], over: float) -> int:
-    """The most of these in any half-open window of so many ms."""
+def max_within(times: list[float], window: float) -> int:
+    """The maximum number of these times in any half-open window of that many ms."""
     ordered, first, most = sorted(times), 0, 0
     for n, at in enumerate(ordered):
-        while ordered[first] <= at - over:
+        while ordered[first] <= at - window:
             first += 1
         most = max(most, n - first + 1)
     return most
 
 
 class Audit:
-    """Owner of all that was seen of the budgets in one drill."""
+    """All observations of the budgets in one drill."""
 
     def __init__(self, budgets: list[dict[str, Any]]) -> None:
-        self.books: dict[str, Book] = {}
-        self.said: dict[int, tuple[float, dict[str, int]]] = {}  # by process, what it held when
-        self.seen: dict[str, int] = {}  # attempts of each call at the engines
+        self.observed: dict[str, ObservedBudget] = {}
+        self.reports: dict[int, tuple[float, dict[str, int]]] = {}  # by process: time, slots held by budget
+        self.attempts: dict[str, int] = {}  # by call: attempts that arrived at engines
         for b in budgets:
-            over, shared = b.get("over_s", 1.0), b.get("what") in ("cold", "probes")
-            whole = int(b.get("whole", 1.0) * (1000 if shared else over) + 1e-9)
-            self.books[b["name"]] = Book(whole, over * 1000.0, b.get("what", "set-ups"), b.get("class", ""))
-
-    def holds(self, n: int, view: dict[str, Any]) -> None:
-        """A process says what it holds; the sum is taken over all that said so lately."""
-        self.said[n] = (view["at_ms"], {name: b["held"] for name, b in view["budgets"].items()})
+            window_s, shared = b.get("over_s", 1.0), b.get("what") in ("cold", "probes")
+            total = int(b.get("whole", 1.0) * (1000 if shared else window_s) + 1e-9)
+            self.observed[b["name"]] = ObservedBudget(
+                total, window_s * 1000.0, b.get("what", "set-ups"), b.get("class", "")
+            )
+
+    def record_held(self, n: int, view: dict[str, Any]) -> None:
+        """Records the slots that a process reports to hold, and sums the recent reports of all processes."""
+        self.reports[n] = (view["at_ms"], {name: b["held"] for name, b in view["budgets"].items()})
         latest = view["at_ms"]
-        for name, book in self.books.items():
-            fresh = [held.get(name, 0) for at, held in self.said.values() if latest - at < FRESH]
-            book.most_held = max(book.most_held, sum(fresh))
-
-    def ended(self, n: int) -> None:
-        self.said.pop(n, None)
-
-    def spent(self, n: int, name: str, times: list[float]) -> None:
-        self.books[name].spent.update(((n, at), None) for at in times)
-
-    def came(self, now: float, call: str, klass: str) -> None:
-        """A set-up came to an engine."""
-        again = self.seen.get(call, 0)
-        self.seen[call] = again + 1
-        for book in self.books.values():
-            if book.what == ("repeats" if again else "set-ups") and book.klass in ("", klass):
-                book.came.append(now)
+        for name, budget in self.observed.items():
+            recent = [held.get(name, 0) for at, held in self.reports.values() if latest - at < MAX_REPORT_AGE]
+            budget.max_held = max(budget.max_held, sum(recent))
+
+    def remove_process(self, n: int) -> None:
+        """Discards the report of a process that ended."""
+        self.reports.pop(n, None)
+
+    def record_spent(self, n: int, name: str, times: list[float]) -> None:
+        """Records the times at which a process reports to have spent a slot; repeated times count once."""
+        self.observed[name].spent.update(((n, at), None) for at in times)
+
+    def record_arrival(self, now: float, call: str, call_class: str) -> None:
+        """Records a set-up that arrived at an engine: a first attempt or a retry."""
+        earlier = self.attempts.get(call, 0)
+        self.attempts[call] = earlier + 1
+        for budget in self.observed.values():
+            if budget.resource == ("repeats" if earlier else "set-ups") and budget.call_class in (
+                "",
+                call_class,
+            ):
+                budget.arrivals.append(now)
 
     def to_dict(self) -> dict[str, Any]:
+        """The observations by budget, for a JSON object."""
         return {
             name: {
-                "whole": b.whole,
-                "over_s": b.over / 1000,
-                "most_held": b.most_held,
-                "most_spent": b.most_spent(),
-                "most_at_engines": b.most_came(),
+                "whole": b.total,
+                "over_s": b.window / 1000,
+                "most_held": b.max_held,
+                "most_spent": b.max_spent(),
+                "most_at_engines": b.max_arrived(),
                 "spent": len(b.spent),
-                "at_engines": len(b.came),
+                "at_engines": len(b.arrivals),
             }
-            for name, b in self.books.items()
+            for name, b in self.observed.items()
         }
 
     def exceeded(self) -> list[str]:
-        """The budgets of which somebody saw more than the whole."""
+        """The budgets whose total was exceeded by any of the three observed maximums."""
         return [
             name
             for name, t in self.to_dict().items()
--- a/softswitch/standin/faults/budget_simulation.py
+++ b/softswitch/standin/faults/budget_simulation.py
@@ -20,7 +20,7 @@
 from softswitch.budgets.messages import LeaseRequest
 from softswitch.budgets.plan import Plan
 from softswitch.budgets.spending import Spending
-from softswitch.standin.faults.links import Links, On
+from softswitch.standin.faults.links import ActiveFault, Links
 from softswitch.standin.faults.schedule import Fault, select_members
 
 ENCODER = msgspec.msgpack.Encoder()
@@ -243,12 +243,12 @@
         src.bytes_out += len(ENCODER.encode(act.message)) + 60
         src.messages += 1
         dst = self.by_address.get(act.to)
-        way = self.links.way(src.name, dst.name) if dst is not None else None
-        if dst is None or way is None or way.spoilt:
+        way = self.links.conditions(src.name, dst.name) if dst is not None else None
+        if dst is None or way is None or way.corrupt:
             return
-        if self.rng.random() < 1 - (1 - self.lose) * (1 - way.lost):
+        if self.rng.random() < 1 - (1 - self.lose) * (1 - way.loss_ratio):
             return
-        for _ in range(2 if way.double or self.rng.random() < 0.02 else 1):
+        for _ in range(2 if way.duplicated or self.rng.random() < 0.02 else 1):
             wait = self.rng.uniform(0.2, 1.5) + way.delay
             if self.rng.random() < self.late:
                 wait += self.rng.uniform(0.0, LATEST)
@@ -289,7 +289,7 @@
             for node in self.nodes.values():
                 node.clock.runs(1 + self.rng.choice((-1, 0, 1)) * self.drift)
 
-    def _over(self, on: On) -> None:
+    def _over(self, on: ActiveFault) -> None:
         self.links.end(self.now, on)
 
     def _continued(self, node: Node, boot: int) -> None:
--- a/softswitch/standin/faults/drill.py
+++ b/softswitch/standin/faults/drill.py
@@ -30,7 +30,7 @@
 from softswitch.standin.engine import EngineSettings
 from softswitch.standin.faults.audit import Audit
 from softswitch.standin.faults.links import Links
-from softswitch.standin.faults.relay import CHECK, Relay
+from softswitch.standin.faults.relay import CHECK_INTERVAL, Relay
 from softswitch.standin.faults.schedule import Fault, select_members
 from softswitch.standin.fleet import ClassSettings, Day, Fleet
 from softswitch.standin.http_query import Query, if_ok
@@ -180,7 +180,7 @@
         self.places = sites
         self.rng = Random(seed)
         self.links = Links(self.sites, self.rng)
-        self.links.away |= set(self.names)
+        self.links.unavailable |= set(self.names)
         self.faults = sorted(faults, key=lambda f: f.at_s)
         self.events: list[Event] = []
         hosts = own_hosts(softswitches)
@@ -285,7 +285,7 @@
     def _one_up(self) -> None:
         super()._one_up()
         if self.up == self.day.softswitches:
-            self.links.away.clear()
+            self.links.unavailable.clear()
             self.ready = set(range(len(self.names)))
             for fault in self.faults:
                 self.reactor.callLater(fault.at_s, self._begin, fault)
@@ -323,15 +323,15 @@
             if self.expected_state[n] == "stopped":
                 program.send_signal(signal.SIGCONT)
             self.expected_state[n] = "ended"
-            self.links.away.add(name)
+            self.links.unavailable.add(name)
             self.ready.discard(n)
             self.views.pop(n, None)
             if self.audit is not None:
-                self.audit.ended(n)
+                self.audit.remove_process(n)
             program.send_signal(signal.SIGKILL if fault.what == "kill" else signal.SIGTERM)
         elif fault.what == "stop" and self.expected_state[n] == "run":
             self.expected_state[n] = "stopped"
-            self.links.away.add(name)
+            self.links.unavailable.add(name)
             program.send_signal(signal.SIGSTOP)
         elif fault.what == "disk full":
             resource.prlimit(program.pid, resource.RLIMIT_FSIZE, (0, resource.RLIM_INFINITY))
@@ -349,13 +349,13 @@
         if on is not None:
             self.links.end(now * 1000, on)
         else:
-            self.links.touch(now * 1000, [self.names[n] for n in members])
+            self.links.mark_disturbed(now * 1000, [self.names[n] for n in members])
         for n in members:
             if fault.what in ("kill", "restart", "leave"):
                 self._again(n)
             elif fault.what == "stop" and self.expected_state[n] == "stopped":
                 self.expected_state[n] = "run"
-                self.links.away.discard(self.names[n])
+                self.links.unavailable.discard(self.names[n])
                 self.programs[n].send_signal(signal.SIGCONT)
             elif fault.what == "disk full" and self.programs[n].poll() is None:
                 resource.prlimit(
@@ -379,7 +379,7 @@
             return
         self.expected_state[n] = "run"
         self.programs[n] = self.program(n)
-        self.links.touch(self.now() * 1000, (self.names[n],))
+        self.links.mark_disturbed(self.now() * 1000, (self.names[n],))
 
     def _flood(self, fault: Fault, members: list[int]) -> None:
         """A stranger's datagrams: noise, and messages that look right but for the fleet's name."""
@@ -405,9 +405,9 @@
 
     def _check(self) -> None:
         for relay in self.relays.values():
-            relay.check()
+            relay.abort_cut_connections()
         if not self.ending:
-            self.reactor.callLater(CHECK, self._check)
+            self.reactor.callLater(CHECK_INTERVAL, self._check)
 
     def _look(self) -> None:
         """Asks all at once; what they say is held against each other as it has come."""
@@ -433,8 +433,8 @@
                 asked = [("/v1/budgets", partial(self._holds, n))]
                 asked += [
                     (f"/v1/budgets/{name}", partial(self._spent, n, name))
-                    for name, book in self.audit.books.items()
-                    if book.what in ("set-ups", "repeats")
+                    for name, book in self.audit.observed.items()
+                    if book.resource in ("set-ups", "repeats")
                 ]
                 for path, done in asked:
                     self.reactor.connectTCP(
@@ -444,15 +444,15 @@
 
     def _holds(self, n: int, view: Any) -> None:
         if view is not None and "budgets" in view and self.audit is not None:
-            self.audit.holds(n, view)
+            self.audit.record_held(n, view)
 
     def _spent(self, n: int, name: str, said: Any) -> None:
         if said is not None and "spent_ms" in said and self.audit is not None:
-            self.audit.spent(n, name, said["spent_ms"])
+            self.audit.record_spent(n, name, said["spent_ms"])
 
     def _came(self, call: str, klass: str) -> None:
         if self.audit is not None:
-            self.audit.came(self.reactor.seconds() * 1000.0, call, klass)
+            self.audit.record_arrival(self.reactor.seconds() * 1000.0, call, klass)
 
     def _answered(self, n: int, view: Any) -> None:
         self.asking.pop(n, None)
@@ -463,8 +463,8 @@
             return
         if n not in self.ready:  # the process that was started anew tells its view
             self.ready.add(n)
-            self.links.away.discard(self.names[n])
-            self.links.touch(self.now() * 1000, (self.names[n],))
+            self.links.unavailable.discard(self.names[n])
+            self.links.mark_disturbed(self.now() * 1000, (self.names[n],))
         before, self.views[n] = self.views.get(n), view
         for member in view["members"]:
             if member["state"] != "gone" or member["name"] not in self.sites:
@@ -480,7 +480,7 @@
                 m["name"] == member["name"] and m["boot"] == member["boot"] and m["state"] == "alive"
                 for m in own["members"]
             )
-            excused = self.links.excused(self.now() * 1000, self.names[n], member["name"])
+            excused = self.links.is_exempt(self.now() * 1000, self.names[n], member["name"])
             if runs and not known and not excused:
                 self.false_gone.setdefault(said)
 
--- a/softswitch/standin/faults/fleet_simulation.py
+++ b/softswitch/standin/faults/fleet_simulation.py
@@ -18,7 +18,7 @@
 
 from softswitch.fleet.member import Exchange, Member, MemberChanged, Notice, Periods, Send
 from softswitch.fleet.messages import ENDED, ID_BITS, Record, State
-from softswitch.standin.faults.links import Links, On
+from softswitch.standin.faults.links import ActiveFault, Links
 from softswitch.standin.faults.schedule import Fault, select_members
 
 STARVED_FOR = (150.0, 900.0)  # ms that a starved process sleeps between two looks at what came
@@ -99,7 +99,7 @@
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.ordered = 0
         self.links = Links(self.sites, self.rng)
-        self.links.away |= set(self.nodes)
+        self.links.unavailable |= set(self.nodes)
         self.faults = sorted(faults, key=lambda f: f.at_s)
         self.false_gone: dict[tuple[str, int], float] = {}
         self.false_suspect: set[tuple[str, int]] = set()
@@ -145,7 +145,7 @@
             return
         node.boots += 1
         node.up = True
-        self.links.away.discard(node.name)
+        self.links.unavailable.discard(node.name)
         me = Record(
             node.name, node.address, 1, State.JOINING, self.rng.getrandbits(ID_BITS), node.site, "1.0", "c0"
         )
@@ -164,8 +164,8 @@
             ]
             node.saved = (node.member.me.incarnation, known[:256])
         node.up, node.member, node.inbox = False, None, []
-        self.links.away.add(node.name)
-        self.links.touch(self.now, (node.name,))
+        self.links.unavailable.add(node.name)
+        self.links.mark_disturbed(self.now, (node.name,))
 
     def _tick(self, node: Node, boot: int) -> None:
         member = node.member
@@ -220,11 +220,11 @@
         """Delay in ms, share lost, whether it comes twice; None where nothing passes. What is spoilt is
         dropped as garbage by who gets it.
         """
-        way = self.links.way(src.name, dst.name)
+        way = self.links.conditions(src.name, dst.name)
         if way is None:
             return None
-        lost = 1.0 if way.spoilt else 1 - (1 - self.lose) * (1 - way.lost)
-        return self.rng.uniform(*self.delay) + way.delay, lost, way.double
+        lost = 1.0 if way.corrupt else 1 - (1 - self.lose) * (1 - way.loss_ratio)
+        return self.rng.uniform(*self.delay) + way.delay, lost, way.duplicated
 
     def _send(self, src: Node, to: str, message: Any) -> None:
         size = len(ENCODER.encode(message)) + 28
@@ -276,26 +276,26 @@
             if fault.what in ("kill", "restart", "leave") and node.up:
                 if fault.what != "kill" and node.member is not None and node.stopped_until <= self.now:
                     self._do(node, node.member.leave(self.now))
-                    if not self.links.on:
+                    if not self.links.active:
                         self.planned.add(node.member.me.boot)
                 self._end(node)
                 if fault.for_s:
                     self.at(self.now + fault.for_s * 1000, self._start, node)
             elif fault.what == "stop" and node.up:
-                self.links.away.add(name)
+                self.links.unavailable.add(name)
                 node.stopped_until = max(node.stopped_until, self.now + fault.for_s * 1000)
                 self.at(node.stopped_until, self._continued, node, node.boots)
         on = self.links.begin(self.now, fault)
         if on is not None and fault.for_s:
             self.at(self.now + fault.for_s * 1000, self._over, on)
 
-    def _over(self, on: On) -> None:
+    def _over(self, on: ActiveFault) -> None:
         self.links.end(self.now, on)
 
     def _continued(self, node: Node, boot: int) -> None:
-        self.links.touch(self.now, (node.name,))
+        self.links.mark_disturbed(self.now, (node.name,))
         if node.up and node.boots == boot and node.stopped_until <= self.now:
-            self.links.away.discard(node.name)
+            self.links.unavailable.discard(node.name)
             self._drain(node)
 
     # the checker
@@ -314,9 +314,13 @@
             word = (record.key, record.incarnation, record.boot)
             if word not in self.words:
                 self.words.add(word)
-                if not self.links.excused(self.now, node.name, about.name):
+                if not self.links.is_exempt(self.now, node.name, about.name):
                     self.false_gone.setdefault((record.key, record.incarnation), self.now)
-        if record.state is State.SUSPECT and runs and not self.links.excused(self.now, node.name, about.name):
+        if (
+            record.state is State.SUSPECT
+            and runs
+            and not self.links.is_exempt(self.now, node.name, about.name)
+        ):
             self.false_suspect.add((record.key, record.incarnation))
         member = node.member
         assert member is not None
--- a/softswitch/standin/faults/links.py
+++ b/softswitch/standin/faults/links.py
@@ -1,7 +1,7 @@
-"""Faults that are on now: what a message between two processes meets, and whom they excuse.
+"""The link faults that are active now, their effect on a message, and the processes that they exempt.
 
-Shared by the world on virtual time and by the relays between real processes, so that one schedule means the
-same in both. Times in ms.
+The simulations on virtual time and the relays between real processes share this module, so that a schedule
+has the same effect in both. Times are in ms.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 from softswitch.standin.faults.schedule import LINK_FAULTS, Fault, select_members
 
-RECENTLY = 15_000.0  # ms after a fault in which those that it touched may still be accused for it
+EXEMPT_FOR = 15_000.0  # ms after a fault in which its processes may still be declared gone
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """What a message meets."""
+class LinkConditions:
+    """The effect of all active faults on one message."""
 
     delay: float = 0.0  # ms
-    lost: float = 0.0  # share
-    double: bool = False
-    spoilt: bool = False
+    loss_ratio: float = 0.0
+    duplicated: bool = False
+    corrupt: bool = False
     kb_s: float = 0.0  # 0: no limit
 
 
 @dataclass(frozen=True, slots=True)
-class On:
-    """A fault of links that is on."""
+class ActiveFault:
+    """An active fault of links."""
 
     fault: Fault
     who: frozenset[str]
@@ -36,72 +36,82 @@
 
 
 class Links:
-    """Owner of the faults that are on, and of when each process was last disturbed."""
+    """The active faults, and when each process was last disturbed."""
 
     def __init__(self, sites: dict[str, str], rng: Random) -> None:
         self.sites, self.rng = sites, rng
-        self.on: list[On] = []
-        self.ended: dict[str, float] = dict.fromkeys(sites, -1e9)  # when it last ended, stopped or went on
-        self.severed: dict[str, float] = dict.fromkeys(sites, -1e9)  # when a cut of its links began or ended
-        self.away: set[str] = set()  # not started, ended, or stopped
+        self.active: list[ActiveFault] = []
+        self.disturbed_at: dict[str, float] = dict.fromkeys(sites, -1e9)  # last end, pause or resumption
+        self.cut_at: dict[str, float] = dict.fromkeys(sites, -1e9)  # last begin or end of a cut of its links
+        self.unavailable: set[str] = set()  # not started, ended or paused
 
-    def begin(self, now: float, fault: Fault) -> On | None:
-        """A fault of a schedule is due. What is given back is to be ended when its time is over."""
+    def begin(self, now: float, fault: Fault) -> ActiveFault | None:
+        """Applies a fault that is due. If it returns an active fault, the caller passes it to `end` later."""
         who = select_members(fault.who, self.sites)
         if fault.what not in LINK_FAULTS:
-            self.touch(now, who)
+            self.mark_disturbed(now, who)
             return None
         other = select_members(fault.other, self.sites, who)
-        made = On(fault, frozenset(who), frozenset(other))
-        self.on.append(made)
+        active = ActiveFault(fault, frozenset(who), frozenset(other))
+        self.active.append(active)
         if fault.what.startswith("cut"):
-            self.severed |= dict.fromkeys((*who, *other), now)
-        return made
+            self.cut_at |= dict.fromkeys((*who, *other), now)
+        return active
 
-    def end(self, now: float, on: On) -> None:
-        self.on.remove(on)
-        if on.fault.what.startswith("cut"):
-            self.severed |= dict.fromkeys(on.who | on.other, now)
+    def end(self, now: float, active: ActiveFault) -> None:
+        """Ends an active fault."""
+        self.active.remove(active)
+        if active.fault.what.startswith("cut"):
+            self.cut_at |= dict.fromkeys(active.who | active.other, now)
 
-    def touch(self, now: float, names: Iterable[str]) -> None:
+    def mark_disturbed(self, now: float, names: Iterable[str]) -> None:
+        """Records that these processes ended, were paused or resumed."""
         for name in names:
-            self.ended[name] = now
-
-    def way(self, src: str, dst: str) -> Way | None:
-        """None: nothing passes."""
-        if not self.on:
-            return NOTHING
-        delay, lost, double, spoilt, kb_s = 0.0, 0.0, False, False, 0.0
-        for on in self.on:
-            there, back = src in on.who and dst in on.other, src in on.other and dst in on.who
-            if not there and not back:
+            self.disturbed_at[name] = now
+
+    def conditions(self, src: str, dst: str) -> LinkConditions | None:
+        """Returns the effect of the active faults on a message; None if the link is cut."""
+        if not self.active:
+            return UNDISTURBED
+        delay, loss_ratio, duplicated, corrupt, kb_s = 0.0, 0.0, False, False, 0.0
+        for active in self.active:
+            forward, backward = (
+                src in active.who and dst in active.other,
+                src in active.other and dst in active.who,
+            )
+            if not forward and not backward:
                 continue
-            f = on.fault
-            if f.what == "cut" or (f.what == "cut one way" and there):
+            f = active.fault
+            if f.what == "cut" or (f.what == "cut one way" and forward):
                 return None
             if f.what == "slow":
                 delay += f.ms + self.rng.random() * f.jitter_ms
             elif f.what == "lose":
-                lost = 1 - (1 - lost) * (1 - f.share)
+                loss_ratio = 1 - (1 - loss_ratio) * (1 - f.share)
             elif f.what == "spoil":
-                spoilt |= self.rng.random() < f.share
+                corrupt |= self.rng.random() < f.share
             elif f.what == "double":
-                double |= self.rng.random() < f.share
+                duplicated |= self.rng.random() < f.share
             elif f.what == "reorder":
                 delay += self.rng.uniform(5.0, 80.0) if self.rng.random() < f.share else 0.0
             elif f.what == "limit":
                 kb_s = min(kb_s or f.kb_s, f.kb_s)
-        return Way(delay, lost, double, spoilt, kb_s)
+        return LinkConditions(delay, loss_ratio, duplicated, corrupt, kb_s)
 
-    def excused(self, now: float, observer: str, about: str) -> bool:
-        """Whether the one may call the other gone: it ended or was stopped, a cut stands or lately stood.
-        That the observer itself was stopped is no excuse.
+    def is_exempt(self, now: float, observer: str, about: str) -> bool:
+        """Whether an observer that declares the other process gone is exempt from the check.
+
+        It is if one of them is unavailable, if the other ended or was paused lately, or if a cut affects the
+        other or lately affected one of them. An earlier pause of the observer does not exempt it.
         """
-        if about in self.away or observer in self.away:
+        if about in self.unavailable or observer in self.unavailable:
             return True
-        if max(self.ended[about], self.severed[about], self.severed[observer]) > now - RECENTLY:
+        if max(self.disturbed_at[about], self.cut_at[about], self.cut_at[observer]) > now - EXEMPT_FOR:
             return True
-        return any(on.fault.what.startswith("cut") and about in on.who | on.other for on in self.on)
+        return any(
+            active.fault.what.startswith("cut") and about in active.who | active.other
+            for active in self.active
+        )
 
 
-NOTHING = Way()
+UNDISTURBED = LinkConditions()
--- a/softswitch/standin/faults/relay.py
+++ b/softswitch/standin/faults/relay.py
@@ -1,7 +1,7 @@
-"""Relays between real processes: each ordered pair has one, for datagrams and for connections.
+"""Relays between real processes: one for each ordered pair, for datagrams and for connections.
 
-A process dials the relay of (itself, the other) in place of the other; what the faults that are on say
-happens to each datagram and each piece of a connection.
+Each process dials the relay of (itself, the other process) instead of the other process. The relay applies
+the active faults to each datagram and to each chunk of a connection.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from twisted.internet.protocol import ClientFactory, DatagramProtocol, Factory, Protocol
 
 from softswitch.standin.addresses import own_host
-from softswitch.standin.faults.links import Links, Way
+from softswitch.standin.faults.links import LinkConditions, Links
 
-CHECK = 0.1  # s between two looks whether a connection is cut
-RESENT = 200.0  # ms that a piece of a connection is late if its packet was lost
+CHECK_INTERVAL = 0.1  # s between two checks for connections over cut links
+RETRANSMISSION_DELAY = 200.0  # ms that the loss of its packet delays a chunk of a connection
 
 
 class Datagrams(DatagramProtocol):
@@ -25,150 +25,175 @@
         self.relay = relay
 
     def datagramReceived(self, data: bytes, addr: tuple[str, int]) -> None:
+        """Called by Twisted: forwards, delays, duplicates, corrupts or drops the datagram."""
         relay, rng = self.relay, self.relay.rng
-        way = relay.links.way(relay.src, relay.dst)
-        relay.came += 1
-        if way is None or rng.random() < way.lost:
+        link = relay.links.conditions(relay.src, relay.dst)
+        relay.received += 1
+        if link is None or rng.random() < link.loss_ratio:
             relay.dropped += 1
             return
-        if way.spoilt and data:
+        if link.corrupt and data:
             at = rng.randrange(len(data))
             data = data[:at] + bytes((data[at] ^ (1 + rng.randrange(255)),)) + data[at + 1 :]
-        for late in (0.0, rng.uniform(0.0, 50.0)) if way.double else (0.0,):
-            relay.reactor.callLater((way.delay + relay.queued(way, len(data)) + late) / 1000, self._on, data)
+        for extra in (0.0, rng.uniform(0.0, 50.0)) if link.duplicated else (0.0,):
+            relay.reactor.callLater(
+                (link.delay + relay.queueing_delay(link, len(data)) + extra) / 1000, self._forward, data
+            )
 
-    def _on(self, data: bytes) -> None:
+    def _forward(self, data: bytes) -> None:
         if self.transport is not None:
-            self.transport.write(data, self.relay.to)
+            self.transport.write(data, self.relay.target)
 
 
-class Half(Protocol):
-    """One end of a connection that passes through; `peer` is the other end."""
+class RelayedConnection(Protocol):
+    """One side of a relayed connection; `peer` is the other side."""
 
-    def __init__(self, relay: Relay, forth: bool) -> None:
-        self.relay, self.forth = relay, forth
-        self.peer: Half | None = None
-        self.waiting: list[bytes] = []
-        self.due = 0.0
+    def __init__(self, relay: Relay, from_source: bool) -> None:
+        self.relay, self.from_source = relay, from_source
+        self.peer: RelayedConnection | None = None
+        self.pending: list[bytes] = []  # received before the other side was connected
+        self.last_due = 0.0  # when the last chunk is forwarded
 
     def connectionMade(self) -> None:
-        self.relay.halves[self] = None
-        if self.forth:
-            self.relay.reactor.connectTCP(*self.relay.to, Onward(self), timeout=2.0)
+        """Called by Twisted: a connection from the source is continued to the target."""
+        self.relay.connections[self] = None
+        if self.from_source:
+            self.relay.reactor.connectTCP(*self.relay.target, TargetFactory(self), timeout=2.0)
 
     def connectionLost(self, reason: object = None) -> None:
-        self.relay.halves.pop(self, None)
+        """Called by Twisted: closes the other side after its last chunk."""
+        self.relay.connections.pop(self, None)
         peer, self.peer = self.peer, None
         if peer is not None:
-            wait = max(0.0, self.due - self.relay.reactor.seconds())
+            wait = max(0.0, self.last_due - self.relay.reactor.seconds())
             self.relay.reactor.callLater(wait + 0.001, peer.transport.loseConnection)
 
     def dataReceived(self, data: bytes) -> None:
+        """Called by Twisted: forwards a chunk with its delay, or aborts the connection if the link is cut."""
         if self.peer is None:
-            self.waiting.append(data)
+            self.pending.append(data)
             return None
         relay = self.relay
-        src, dst = (relay.src, relay.dst) if self.forth else (relay.dst, relay.src)
-        way = relay.links.way(src, dst)
-        if way is None:
-            return relay.cut(self)
-        late = way.delay + relay.queued(way, len(data)) + (RESENT if relay.rng.random() < way.lost else 0.0)
+        src, dst = (relay.src, relay.dst) if self.from_source else (relay.dst, relay.src)
+        link = relay.links.conditions(src, dst)
+        if link is None:
+            return relay.abort(self)
+        delay = (
+            link.delay
+            + relay.queueing_delay(link, len(data))
+            + (RETRANSMISSION_DELAY if relay.rng.random() < link.loss_ratio else 0.0)
+        )
         now = relay.reactor.seconds()
-        self.due = max(self.due, now + late / 1000)  # in order
-        if self.due <= now:
+        self.last_due = max(self.last_due, now + delay / 1000)  # keeps the order of the chunks
+        if self.last_due <= now:
             self.peer.transport.write(data)
         else:
-            relay.reactor.callLater(self.due - now, self._on, self.peer, data)
+            relay.reactor.callLater(self.last_due - now, self._forward, self.peer, data)
         return None
 
-    def _on(self, peer: Half, data: bytes) -> None:
-        if peer in self.relay.halves:
+    def _forward(self, peer: RelayedConnection, data: bytes) -> None:
+        if peer in self.relay.connections:
             peer.transport.write(data)
 
 
-class Onward(ClientFactory):
+class TargetFactory(ClientFactory):
+    """Connects to the target on behalf of a connection from the source."""
+
     noisy = False
 
-    def __init__(self, half: Half) -> None:
-        self.half = half
+    def __init__(self, connection: RelayedConnection) -> None:
+        self.connection = connection
 
-    def buildProtocol(self, addr: object) -> Half:
-        made = Half(self.half.relay, False)
-        made.peer, self.half.peer = self.half, made
-        self.half.relay.reactor.callLater(0, self._flush)
-        return made
+    def buildProtocol(self, addr: object) -> RelayedConnection:
+        """Called by Twisted: makes the side of the target and joins both sides."""
+        target_side = RelayedConnection(self.connection.relay, False)
+        target_side.peer, self.connection.peer = self.connection, target_side
+        self.connection.relay.reactor.callLater(0, self._flush)
+        return target_side
 
     def _flush(self) -> None:
-        waiting, self.half.waiting = self.half.waiting, []
-        for data in waiting:
-            self.half.dataReceived(data)
+        pending, self.connection.pending = self.connection.pending, []
+        for data in pending:
+            self.connection.dataReceived(data)
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:
-        self.half.transport.abortConnection()
+        """Called by Twisted: aborts the connection from the source."""
+        self.connection.transport.abortConnection()
+
 
+class SourceFactory(Factory):
+    """Accepts connections from the source, unless the link is cut in either direction."""
 
-class Acceptor(Factory):
     noisy = False
 
     def __init__(self, relay: Relay) -> None:
         self.relay = relay
 
-    def buildProtocol(self, addr: object) -> Half | None:
+    def buildProtocol(self, addr: object) -> RelayedConnection | None:
+        """Called by Twisted."""
         relay = self.relay
-        if relay.links.way(relay.src, relay.dst) is None or relay.links.way(relay.dst, relay.src) is None:
+        if (
+            relay.links.conditions(relay.src, relay.dst) is None
+            or relay.links.conditions(relay.dst, relay.src) is None
+        ):
             return None
-        return Half(relay, True)
+        return RelayedConnection(relay, True)
 
 
 class Relay:
-    """From one process to another; `listen` tells where the first one is to dial."""
+    """Forwards traffic from one process (`src`) to another (`dst`); `src` dials the address from `listen`."""
 
     def __init__(
-        self, reactor: Any, links: Links, src: str, dst: str, to: tuple[str, int], seed: int
+        self, reactor: Any, links: Links, src: str, dst: str, target: tuple[str, int], seed: int
     ) -> None:
-        self.reactor, self.links, self.src, self.dst, self.to = reactor, links, src, dst, to
+        self.reactor, self.links, self.src, self.dst, self.target = reactor, links, src, dst, target
         self.rng = Random(seed)
-        self.halves: dict[Half, None] = {}
-        self.came = self.dropped = 0
-        self.free_at = 0.0  # when a limited link has sent what it was given
+        self.connections: dict[RelayedConnection, None] = {}
+        self.received = self.dropped = 0
+        self.free_at = 0.0  # when a link with a limited rate has sent everything in its queue
 
     def listen(self) -> tuple[str, int]:
-        """Datagrams and connections at one port."""
+        """Listens for datagrams and connections on one port and returns the address."""
         host = own_host()
         for _ in range(20):
             self.udp = self.reactor.listenUDP(0, Datagrams(self), host, maxPacketSize=65_536)
             port: int = self.udp.getHost().port
             try:
-                self.tcp = self.reactor.listenTCP(port, Acceptor(self), 16, host)
-            except Exception:  # the same number is taken there
+                self.tcp = self.reactor.listenTCP(port, SourceFactory(self), 16, host)
+            except Exception:  # the TCP port with this number is in use
                 self.udp.stopListening()
                 continue
             return host, port
-        raise OSError("no port is free for datagrams and connections both")
+        raise OSError("no port is free for both datagrams and connections")
 
-    def queued(self, way: Way, size: int) -> float:
-        """Ms that a limited link makes this wait."""
-        if not way.kb_s:
+    def queueing_delay(self, link: LinkConditions, size: int) -> float:
+        """Queues a message on a link with a limited rate and returns its delay in ms."""
+        if not link.kb_s:
             return 0.0
         now = self.reactor.seconds() * 1000.0
-        self.free_at = max(self.free_at, now) + size / way.kb_s
+        self.free_at = max(self.free_at, now) + size / link.kb_s
         return float(self.free_at - now)
 
-    def cut(self, half: Half) -> None:
-        if half.peer is not None:
-            half.peer.transport.abortConnection()
-        half.transport.abortConnection()
+    def abort(self, connection: RelayedConnection) -> None:
+        """Aborts both sides of a connection."""
+        if connection.peer is not None:
+            connection.peer.transport.abortConnection()
+        connection.transport.abortConnection()
 
-    def check(self) -> None:
-        """Connections that stand where nothing passes any more are ended."""
-        if not self.halves or not self.links.on:
+    def abort_cut_connections(self) -> None:
+        """Aborts all connections if the link is cut in either direction."""
+        if not self.connections or not self.links.active:
             return
-        if self.links.way(self.src, self.dst) is None or self.links.way(self.dst, self.src) is None:
-            for half in list(self.halves):
-                half.transport.abortConnection()
+        if (
+            self.links.conditions(self.src, self.dst) is None
+            or self.links.conditions(self.dst, self.src) is None
+        ):
+            for connection in list(self.connections):
+                connection.transport.abortConnection()
 
     def stop(self) -> None:
+        """Stops listening and aborts all connections."""
         self.udp.stopListening()
         self.tcp.stopListening()
-        for half in list(self.halves):
-            half.transport.abortConnection()
+        for connection in list(self.connections):
+            connection.transport.abortConnection()
--- a/softswitch/standin/faults/schedule.py
+++ b/softswitch/standin/faults/schedule.py
@@ -1,9 +1,9 @@
-"""Faults over time as a typed list, in JSON or as an operator file's tables; written by hand or drawn.
+"""Schedules of faults: typed lists, read from JSON or generated from a seed.
 
     [{"at_s": 3, "what": "cut", "who": ["site:a"], "other": ["site:b", "site:c"], "for_s": 6},
      {"at_s": 5, "what": "kill", "who": ["n3"], "for_s": 4}]
 
-`who` and `other` select members: a name, `site:NAME`, `rest` (all that `who` does not name), or `all`.
+`who` and `other` select members: a name, `site:NAME`, `rest` (all that `who` does not select) or `all`.
 """
 
 from __future__ import annotations
@@ -40,18 +40,18 @@
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One fault. What it needs besides is checked in `__post_init__`."""
+    """One fault of a schedule. `__post_init__` checks the fields that its type requires."""
 
     at_s: Seconds
     what: What
     who: Annotated[tuple[str, ...], Meta(min_length=1, max_length=1_000)]
-    other: tuple[str, ...] = ("rest",)  # the far end of a link
-    for_s: Seconds = 0.0  # 0: to the end of the run
-    share: Annotated[float, Meta(ge=0, le=1)] = 0.0  # lose, double, reorder, spoil: of the messages
-    ms: Annotated[float, Meta(ge=0, le=60_000)] = 0.0  # slow: delay; disk slow: of each write
+    other: tuple[str, ...] = ("rest",)  # the far ends of the links
+    for_s: Seconds = 0.0  # 0: until the end of the run
+    share: Annotated[float, Meta(ge=0, le=1)] = 0.0  # lose, double, reorder, spoil: fraction of messages
+    ms: Annotated[float, Meta(ge=0, le=60_000)] = 0.0  # slow: delay; disk slow: delay of each write
     jitter_ms: Annotated[float, Meta(ge=0, le=60_000)] = 0.0
-    kb_s: Annotated[float, Meta(ge=0)] = 0.0  # limit: kilobytes a second on each link
-    per_s: Annotated[float, Meta(ge=0, le=100_000)] = 0.0  # flood: datagrams a second
+    kb_s: Annotated[float, Meta(ge=0)] = 0.0  # limit: kilobytes per second on each link
+    per_s: Annotated[float, Meta(ge=0, le=100_000)] = 0.0  # flood: datagrams per second
 
     def __post_init__(self) -> None:
         if self.what in ("lose", "double", "reorder", "spoil") and not self.share:
@@ -67,38 +67,44 @@
 
     @property
     def ends_s(self) -> float | None:
-        """None: it lasts to the end of the run."""
+        """End of the fault; None if it lasts until the end of the run."""
         return self.at_s + self.for_s if self.for_s else None
 
 
 class ScheduleError(Exception):
-    """A schedule that can't be played; the text names the fault and what is wrong."""
+    """A schedule that can't be run. The message names the fault and the reason."""
 
 
-def select_members(who: Sequence[str], sites: dict[str, str], but: Sequence[str] = ()) -> list[str]:
-    """The members that a selection names; `sites`: site by member."""
+def select_members(
+    selectors: Sequence[str], sites: dict[str, str], excluded: Sequence[str] = ()
+) -> list[str]:
+    """Returns the members that the selectors match; `rest` matches all but `excluded`.
+
+    `sites` maps each member to its site.
+    """
     found: dict[str, None] = {}
-    for word in who:
-        if word == "all":
+    for selector in selectors:
+        if selector == "all":
             found |= dict.fromkeys(sites)
-        elif word == "rest":
-            found |= dict.fromkeys(n for n in sites if n not in but)
-        elif word.startswith("site:"):
-            inside = [n for n, site in sites.items() if site == word[5:]]
-            if not inside:
-                there = ", ".join(sorted(set(sites.values())))
-                raise ScheduleError(f"no member in {word!r}; there are sites {there}")
-            found |= dict.fromkeys(inside)
-        elif word in sites:
-            found[word] = None
+        elif selector == "rest":
+            found |= dict.fromkeys(n for n in sites if n not in excluded)
+        elif selector.startswith("site:"):
+            in_site = [n for n, site in sites.items() if site == selector[5:]]
+            if not in_site:
+                known_sites = ", ".join(sorted(set(sites.values())))
+                raise ScheduleError(f"no member in {selector!r}; there are sites {known_sites}")
+            found |= dict.fromkeys(in_site)
+        elif selector in sites:
+            found[selector] = None
         else:
-            raise ScheduleError(f"{word!r} is no member, `site:NAME`, `rest` or `all`")
+            raise ScheduleError(f"{selector!r} is no member, `site:NAME`, `rest` or `all`")
     return list(found)
 
 
 def read_schedule(path: str | Path, sites: dict[str, str]) -> list[Fault]:
-    """A schedule from a JSON file; ScheduleError with one plain line if it can't be played with these
-    members.
+    """Reads a schedule from a JSON file.
+
+    Raises ScheduleError, with a message of one line, if it can't be run with these members.
     """
     try:
         data = Path(path).read_bytes()
@@ -108,6 +114,7 @@
 
 
 def parse_schedule(data: bytes, name: str, sites: dict[str, str]) -> list[Fault]:
+    """Parses a schedule and sorts it by time; `name` stands at the start of error messages."""
     try:
         faults = msgspec.json.decode(data, type=list[Fault])
     except (msgspec.DecodeError, msgspec.ValidationError, ValueError) as e:
@@ -123,16 +130,20 @@
 
 
 def generate_schedule(
-    seed: int, names: Sequence[str], sites: dict[str, str], seconds: float, calm: float = 12.0
+    seed: int, names: Sequence[str], sites: dict[str, str], seconds: float, settling_time: float = 12.0
 ) -> list[Fault]:
-    """A schedule of one to five faults that may overlap; all are over `calm` seconds before the end."""
+    """Generates a schedule of one to five faults that may overlap.
+
+    Faults with a duration end `settling_time` seconds or more before the end of the run, so that all views
+    can settle. Processes that leave, or are killed without a duration, stay down.
+    """
     rng = Random(seed)
     faults: list[Fault] = []
-    last = seconds - calm
-    places = sorted(set(sites.values()))
+    last_end = seconds - settling_time
+    site_names = sorted(set(sites.values()))
     for _ in range(rng.randint(1, 5)):
-        at = round(rng.uniform(2.0, max(2.5, last - 3.0)), 2)
-        lasts = round(rng.uniform(0.5, max(0.6, last - at)), 2)
+        start = round(rng.uniform(2.0, max(2.5, last_end - 3.0)), 2)
+        duration = round(rng.uniform(0.5, max(0.6, last_end - start)), 2)
         what: Any = rng.choice(
             (
                 "kill",
@@ -150,39 +161,41 @@
                 "spoil",
             )
         )
-        some = tuple(rng.sample(list(names), rng.randint(1, max(1, len(names) // 3))))
-        who: tuple[str, ...] = some
+        members = tuple(rng.sample(list(names), rng.randint(1, max(1, len(names) // 3))))
+        who: tuple[str, ...] = members
         if what.startswith("cut") and rng.random() < 0.6:
-            who = (f"site:{rng.choice(places)}",)
+            who = (f"site:{rng.choice(site_names)}",)
         if what == "kill":
-            faults.append(Fault(at_s=at, what=what, who=who, for_s=rng.choice((0.0, lasts))))
+            faults.append(Fault(at_s=start, what=what, who=who, for_s=rng.choice((0.0, duration))))
         elif what in ("stop", "restart"):
-            faults.append(Fault(at_s=at, what="stop" if what == "stop" else "restart", who=who, for_s=lasts))
+            faults.append(
+                Fault(at_s=start, what="stop" if what == "stop" else "restart", who=who, for_s=duration)
+            )
         elif what == "leave":
-            faults.append(Fault(at_s=at, what="leave", who=who[:1]))
+            faults.append(Fault(at_s=start, what="leave", who=who[:1]))
         elif what == "cut" or what == "cut one way":
             faults.append(
-                Fault(at_s=at, what="cut" if what == "cut" else "cut one way", who=who, for_s=lasts)
+                Fault(at_s=start, what="cut" if what == "cut" else "cut one way", who=who, for_s=duration)
             )
         elif what == "slow":
             faults.append(
                 Fault(
-                    at_s=at,
+                    at_s=start,
                     what="slow",
                     who=who,
-                    for_s=lasts,
+                    for_s=duration,
                     ms=rng.choice((5, 60)),
                     jitter_ms=rng.choice((0, 30, 120)),
                 )
             )
         elif what == "lose":
             faults.append(
-                Fault(at_s=at, what="lose", who=who, for_s=lasts, share=rng.choice((0.05, 0.2, 0.3)))
+                Fault(at_s=start, what="lose", who=who, for_s=duration, share=rng.choice((0.05, 0.2, 0.3)))
             )
         elif what == "double":
-            faults.append(Fault(at_s=at, what="double", who=who, for_s=lasts, share=0.3))
+            faults.append(Fault(at_s=start, what="double", who=who, for_s=duration, share=0.3))
         elif what == "reorder":
-            faults.append(Fault(at_s=at, what="reorder", who=who, for_s=lasts, share=0.3))
+            faults.append(Fault(at_s=start, what="reorder", who=who, for_s=duration, share=0.3))
         else:
-            faults.append(Fault(at_s=at, what="spoil", who=who, for_s=lasts, share=0.2))
+            faults.append(Fault(at_s=start, what="spoil", who=who, for_s=duration, share=0.2))
     return sorted(faults, key=lambda f: f.at_s)
