--- a/softswitch/standin/faults/drill.py
+++ b/softswitch/standin/faults/drill.py
@@ -1,7 +1,7 @@
-"""Real softswitches on loopback with relays between them, a schedule of faults, callers, and a checker.
+"""Drills: real softswitches on loopback with relays between them, a schedule of faults, callers, a checker.
 
-The checker asks each process for its view once in 100 ms and holds all against each other and against what is
-true. What was done when is kept, and is a schedule again.
+The checker queries the view of each process every 100 ms and compares all views with each other and with the
+true states. The report contains the faults as they were run, which form a schedule again.
 """
 
 from __future__ import annotations
@@ -36,27 +36,29 @@
 from softswitch.standin.http_query import Query, if_ok
 from softswitch.standin.traffic import StreamSettings
 
-LOOK = 0.1  # s between two looks at all views
-ADDED = 0.4  # s between two times that budgets are added up
-ASKED = 0.8  # s that a process may take to tell its view
-PEER_PORT, MGMT_PORT = 7_946, 15_000  # at each one's own address
-AGAIN_AFTER = 0.1  # s between two tries to start one whose process before has not ended yet
+VIEW_INTERVAL = 0.1  # s between two queries of all views
+BUDGET_INTERVAL = 0.4  # s between two queries of all budgets
+QUERY_TIMEOUT = 0.8  # s
+PEER_PORT, MGMT_PORT = 7_946, 15_000  # at the own address of each process
+RESTART_RETRY_DELAY = 0.1  # s between two attempts to restart a process whose predecessor has not ended yet
 
 
 @dataclass(slots=True)
 class Event:
-    """A fault as it was played, and what was seen of it. Times in seconds of the day."""
+    """A fault that was run, and its observed effects. All times are in seconds."""
 
     fault: Fault
-    began: float
-    ended: float | None = None
-    known: float | None = None  # after `began`, until the last process knew; of faults that end processes
-    settled: float | None = None  # after `ended` (or `began`), until all views were equal and true
+    started_at: float  # since the start of the run
+    ended_at: float | None = None  # equal to `started_at` if the fault has no duration
+    # For faults that end processes: time after `started_at` until the last view showed the end.
+    detected_after: float | None = None
+    # Time after `ended_at` until all views were equal and correct.
+    settled_after: float | None = None
 
 
 @dataclass(slots=True)
 class DrillReport:
-    """What a drill showed."""
+    """The results of a drill."""
 
     processes: int
     sites: int
@@ -72,27 +74,27 @@
     unanswered: int
     second_answers: int
     wrong_descriptions: int
-    looks: int
-    unread: int  # views that were asked for and did not come
-    budgets: dict[str, Any] = field(default_factory=dict)  # the whole, and the most held, spent and seen
-    exceeded_budgets: list[str] = field(default_factory=list)  # budgets of which more than the whole was seen
+    view_queries: int
+    failed_queries: int  # queries of a view without an answer
+    budgets: dict[str, Any] = field(default_factory=dict)  # by budget: total, and maximums of `audit.Audit`
+    exceeded_budgets: list[str] = field(default_factory=list)
 
     def to_dict(self) -> dict[str, Any]:
-        """What was seen, for a JSON object."""
+        """The results, for a JSON object."""
         faults = [
             {
                 "what": e.fault.what,
                 "who": list(e.fault.who),
-                "began_s": round(e.began, 2),
-                "ended_s": None if e.ended is None else round(e.ended, 2),
-                "known_s": e.known,
-                "settle_s": e.settled,
+                "began_s": round(e.started_at, 2),
+                "ended_s": None if e.ended_at is None else round(e.ended_at, 2),
+                "known_s": e.detected_after,
+                "settle_s": e.settled_after,
             }
             for e in self.events
         ]
         return {
             "settled": self.settled,
-            "settle_s": [e.settled for e in self.events],
+            "settle_s": [e.settled_after for e in self.events],
             "start_s": self.start_s,
             "false_gone": len(self.false_gone),
             "falsely_gone": self.false_gone,
@@ -109,18 +111,21 @@
                 "second_answers": self.second_answers,
                 "wrong_descriptions": self.wrong_descriptions,
             },
-            "looks": self.looks,
-            "unread": self.unread,
+            "looks": self.view_queries,
+            "unread": self.failed_queries,
             **({"budgets": self.budgets, "above": self.exceeded_budgets} if self.budgets else {}),
         }
 
     def schedule(self) -> bytes:
-        """The faults as they were played, in the form of a schedule file."""
+        """The faults that were run, as the content of a schedule file."""
         return msgspec.json.encode([e.fault for e in self.events])
 
 
-def day_of(softswitches: int, seconds: float, seed: int, rate: float, engines: int = 3) -> Day:
-    """A day of two classes at a rate in calls a second; holding times are short, so that many calls end."""
+def make_day(softswitches: int, seconds: float, seed: int, rate: float, engines: int = 3) -> Day:
+    """Makes a day with two call classes and a rate in calls per second.
+
+    Holding times are short, so that many calls end during the run.
+    """
     hold = {"price-check": 1.6, "save-quote": 2.4}
     return Day(
         engines=tuple(
@@ -128,9 +133,9 @@
         ),
         classes=(ClassSettings("price-check", 2.0, 1.6), ClassSettings("save-quote", 1.5, 2.4, worth=3.0)),
         streams=tuple(
-            StreamSettings(name, rate * share / engines, n, number=str(n))
+            StreamSettings(name, rate * fraction / engines, n, number=str(n))
             for n in range(engines)
-            for name, share in (("price-check", 0.78), ("save-quote", 0.22))
+            for name, fraction in (("price-check", 0.78), ("save-quote", 0.22))
         ),
         seconds=seconds,
         softswitches=softswitches,
@@ -140,8 +145,12 @@
 
 
 class Drill(Fleet):
-    """Plays one drill. With `view` off the same processes, load and faults without the fleet's part; with
-    `watched` off nobody asks for the views, so that what they cost by themselves can be measured.
+    """Runs one drill.
+
+    Without `view` the processes form no fleet; load and faults are the same. Without `watched` the checker
+    queries neither views nor budgets, so that the cost of the views alone can be measured. `heavy` is the
+    fraction of all calls that one softswitch gets on top of its equal part; every `moves_s` seconds another
+    softswitch gets it (0: never).
     """
 
     def __init__(
@@ -154,8 +163,8 @@
         rate: float = 24.0,
         view: bool = True,
         watched: bool = True,
-        tables: str = "",
-        periods: str = "",
+        operator_tables: str = "",
+        fleet_keys: str = "",
         budgets: Sequence[dict[str, Any]] = (),
         heavy: float = 0.0,
         moves_s: float = 0.0,
@@ -163,49 +172,49 @@
         on_second: Callable[[Drill], None] | None = None,
     ) -> None:
         super().__init__(
-            day_of(softswitches, seconds, seed, rate, engines),
+            make_day(softswitches, seconds, seed, rate, engines),
             (lambda fleet: on_second(self)) if on_second else None,
         )
-        self.view, self.tables, self.periods = view, tables, periods
+        self.view, self.operator_tables, self.fleet_keys = view, operator_tables, fleet_keys
         self.watched = view and watched
         self.budgets = list(budgets)
         self.audit = Audit(self.budgets) if budgets else None
-        # One softswitch has this share of all calls; another one each so many seconds.
-        self.heavy, self.moves_s, self.draws = heavy, moves_s, Random(seed + 1)
+        self.heavy, self.moves_s, self.caller_rng = heavy, moves_s, Random(seed + 1)
         if self.audit is not None:
             for engine in self.engines:
-                engine.came = self._came
+                engine.came = self._setup_received
         self.names = [f"n{n}" for n in range(softswitches)]
         self.sites = {name: "abcdefghijkl"[n % sites] for n, name in enumerate(self.names)}
-        self.places = sites
+        self.site_count = sites
         self.rng = Random(seed)
         self.links = Links(self.sites, self.rng)
         self.links.unavailable |= set(self.names)
         self.faults = sorted(faults, key=lambda f: f.at_s)
         self.events: list[Event] = []
         hosts = own_hosts(softswitches)
-        self.peer_at = [(host, PEER_PORT) for host in hosts]
-        self.mgmt_at = [(host, MGMT_PORT) for host in hosts]
+        self.peer_addresses = [(host, PEER_PORT) for host in hosts]
+        self.mgmt_addresses = [(host, MGMT_PORT) for host in hosts]
         self.relays: dict[tuple[int, int], Relay] = {}
         self.views: dict[int, Any] = {}
-        self.asking: dict[int, float] = {}
-        self.expected_state: dict[int, str] = dict.fromkeys(range(softswitches), "run")  # run, stopped, ended
+        self.queried_at: dict[int, float] = {}
+        # run, stopped (paused by a signal) or ended
+        self.expected_state: dict[int, str] = dict.fromkeys(range(softswitches), "run")
         self.ready: set[int] = set()
         self.false_gone: dict[str, None] = {}
-        self.looks = self.unread = 0
+        self.view_queries = self.failed_queries = 0
         self.start_s: float | None = None
-        self.pipes: list[threading.Thread] = []
+        self.log_threads: list[threading.Thread] = []
 
     # the processes
 
     def configured(self, n: int) -> dict[str, Any]:
-        """The management address, at this process's own host."""
-        return {"mgmt": f"{self.mgmt_at[n][0]}:{self.mgmt_at[n][1]}"}
+        """The management address, on the process's own host."""
+        return {"mgmt": f"{self.mgmt_addresses[n][0]}:{self.mgmt_addresses[n][1]}"}
 
     def operator_text(self, n: int) -> str:
-        """The operator file: the fleet, reached through a relay for each of the others, and the budgets."""
+        """The operator file: the fleet, with a relay to each other process, and the budgets."""
         if not self.view:
-            return self.tables
+            return self.operator_tables
         dial = {}
         for m in range(len(self.names)):
             if m != n:
@@ -214,7 +223,7 @@
                     self.links,
                     self.names[n],
                     self.names[m],
-                    self.peer_at[m],
+                    self.peer_addresses[m],
                     self.rng.getrandbits(32),
                 )
                 self.relays[n, m] = relay
@@ -227,12 +236,12 @@
             "dial": dial,
             "folder": f"state-{n}",
         }
-        text = f"fleet = {orjson.dumps(table).decode()[:-1]}{self.periods}}}\n{self.tables}"
+        text = f"fleet = {orjson.dumps(table).decode()[:-1]}{self.fleet_keys}}}\n{self.operator_tables}"
         if self.budgets:
-            everyone = [self._at(m) for m in range(len(self.names))]
+            addresses = [self._at(m) for m in range(len(self.names))]
             allocation = {
-                "members": everyone,
-                "voters": everyone[: min(5, len(everyone))],
+                "members": addresses,
+                "voters": addresses[: min(5, len(addresses))],
                 "record": 4_000 if self.watched else 0,
             }
             text += f"\nbudgets = {orjson.dumps(self.budgets).decode()}\n"
@@ -240,10 +249,14 @@
         return text
 
     def _at(self, n: int) -> str:
-        return "{}:{}".format(*self.peer_at[n])
+        return "{}:{}".format(*self.peer_addresses[n])
 
     def program(self, n: int) -> subprocess.Popen[bytes]:
-        """Its log goes through a pipe: a limit on what the process may write must not hold up its log."""
+        """Starts a softswitch, with its log through a pipe.
+
+        A thread of this process writes the log to its file, since `disk full` limits the size of files that
+        the softswitch itself writes.
+        """
         star = Path(self.dir.name, f"n{n}.star")
         env = os.environ | {"BALANCER_CONFIG": str(Path(self.dir.name, f"n{n}.json"))}
         env.pop("TMPDIR", None)
@@ -268,19 +281,21 @@
 
         thread = threading.Thread(target=copy, daemon=True)
         thread.start()
-        self.pipes.append(thread)
+        self.log_threads.append(thread)
         return made
 
     def should_run(self, n: int) -> bool:
-        """Whether it is a fault if this one has ended."""
+        """Whether it is an error if this softswitch has ended."""
         return self.expected_state[n] != "ended"
 
     def caller_of(self, nth: int) -> Callers | None:
-        """The callers of one that runs; one may get a larger share."""
-        up = [c for n, c in enumerate(self.callers) if self.expected_state[n] == "run" and c.line is not None]
-        if self.heavy and up and self.draws.random() < self.heavy:
-            return up[int(self.now() // self.moves_s) % len(up) if self.moves_s else 0]
-        return up[nth % len(up)] if up else None
+        """The callers of a running softswitch; with `heavy`, one softswitch gets more calls."""
+        running = [
+            c for n, c in enumerate(self.callers) if self.expected_state[n] == "run" and c.line is not None
+        ]
+        if self.heavy and running and self.caller_rng.random() < self.heavy:
+            return running[int(self.now() // self.moves_s) % len(running) if self.moves_s else 0]
+        return running[nth % len(running)] if running else None
 
     def _one_up(self) -> None:
         super()._one_up()
@@ -288,34 +303,34 @@
             self.links.unavailable.clear()
             self.ready = set(range(len(self.names)))
             for fault in self.faults:
-                self.reactor.callLater(fault.at_s, self._begin, fault)
-            self._look()
-            self._check()
-            self._add_up()
+                self.reactor.callLater(fault.at_s, self._start_fault, fault)
+            self._query_views()
+            self._check_relays()
+            self._query_budgets()
 
     # the faults
 
     def now(self) -> float:
-        """Seconds of the day."""
+        """Seconds since the start of the run."""
         return float(self.reactor.seconds()) - self.began
 
-    def _begin(self, fault: Fault) -> None:
+    def _start_fault(self, fault: Fault) -> None:
         if self.ending:
             return
         event = Event(fault, self.now())
         self.events.append(event)
-        on = self.links.begin(self.now() * 1000, fault)
+        active = self.links.begin(self.now() * 1000, fault)
         members = [self.names.index(name) for name in select_members(fault.who, self.sites)]
         for n in members:
-            self._do(n, fault)
+            self._apply_to_process(n, fault)
         if fault.what == "flood":
-            self._flood(fault, members)
+            self._send_flood(fault, members)
         if fault.for_s:
-            self.reactor.callLater(fault.for_s, self._end, event, on, members)
+            self.reactor.callLater(fault.for_s, self._end_fault, event, active, members)
         else:
-            event.ended = event.began
+            event.ended_at = event.started_at
 
-    def _do(self, n: int, fault: Fault) -> None:
+    def _apply_to_process(self, n: int, fault: Fault) -> None:
         program, name = self.programs[n], self.names[n]
         if fault.what in ("kill", "restart", "leave"):
             if self.expected_state[n] == "ended":
@@ -336,23 +351,23 @@
         elif fault.what == "disk full":
             resource.prlimit(program.pid, resource.RLIMIT_FSIZE, (0, resource.RLIM_INFINITY))
         elif fault.what == "disk read-only":
-            # The folder's place is taken by a file: nothing can be opened or renamed there, whoever asks.
+            # A file replaces the folder: nobody, not even root, can open or rename files in it.
             folder = Path(self.dir.name, f"state-{n}")
             if folder.is_dir():
                 folder.rename(folder.with_suffix(".away"))
                 folder.write_bytes(b"")
 
-    def _end(self, event: Event, on: Any, members: list[int]) -> None:
+    def _end_fault(self, event: Event, active: Any, members: list[int]) -> None:
         if self.ending:
             return
         fault, now = event.fault, self.now()
-        if on is not None:
-            self.links.end(now * 1000, on)
+        if active is not None:
+            self.links.end(now * 1000, active)
         else:
             self.links.mark_disturbed(now * 1000, [self.names[n] for n in members])
         for n in members:
             if fault.what in ("kill", "restart", "leave"):
-                self._again(n)
+                self._restart(n)
             elif fault.what == "stop" and self.expected_state[n] == "stopped":
                 self.expected_state[n] = "run"
                 self.links.unavailable.discard(self.names[n])
@@ -368,124 +383,124 @@
                 if folder.is_file():
                     folder.unlink()
                     folder.with_suffix(".away").rename(folder)
-        event.ended = now
+        event.ended_at = now
 
-    def _again(self, n: int) -> None:
-        """Started anew once the process before has ended."""
+    def _restart(self, n: int) -> None:
+        """Starts the softswitch again once its predecessor has ended."""
         if self.ending or self.expected_state[n] == "run":
             return
         if self.programs[n].poll() is None:
-            self.reactor.callLater(AGAIN_AFTER, self._again, n)
+            self.reactor.callLater(RESTART_RETRY_DELAY, self._restart, n)
             return
         self.expected_state[n] = "run"
         self.programs[n] = self.program(n)
         self.links.mark_disturbed(self.now() * 1000, (self.names[n],))
 
-    def _flood(self, fault: Fault, members: list[int]) -> None:
-        """A stranger's datagrams: noise, and messages that look right but for the fleet's name."""
-        out = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        out.setblocking(False)
-        ends = self.now() + fault.for_s if fault.for_s else 1e9
-        every = 0.02
+    def _send_flood(self, fault: Fault, members: list[int]) -> None:
+        """Sends random datagrams to the members from a socket that is no member's."""
+        flood_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        flood_socket.setblocking(False)
+        end = self.now() + fault.for_s if fault.for_s else 1e9
+        interval = 0.02
 
-        def some() -> None:
-            if self.ending or self.now() > ends:
-                return out.close()
+        def send_batch() -> None:
+            if self.ending or self.now() > end:
+                return flood_socket.close()
             for n in members:
-                for _ in range(round(fault.per_s * every)):
+                for _ in range(round(fault.per_s * interval)):
                     data = self.rng.randbytes(self.rng.choice((1, 40, 300)))
                     with contextlib.suppress(OSError):
-                        out.sendto(data, self.peer_at[n])
-            self.reactor.callLater(every, some)
+                        flood_socket.sendto(data, self.peer_addresses[n])
+            self.reactor.callLater(interval, send_batch)
             return None
 
-        some()
+        send_batch()
 
     # the checker
 
-    def _check(self) -> None:
+    def _check_relays(self) -> None:
         for relay in self.relays.values():
             relay.abort_cut_connections()
         if not self.ending:
-            self.reactor.callLater(CHECK_INTERVAL, self._check)
+            self.reactor.callLater(CHECK_INTERVAL, self._check_relays)
 
-    def _look(self) -> None:
-        """Asks all at once; what they say is held against each other as it has come."""
+    def _query_views(self) -> None:
+        """Evaluates the views received so far and queries all processes for their next views."""
         if self.ending or not self.watched:
             return
-        self._judge()
+        self._update_events()
         for n in range(len(self.names)):
-            if self.expected_state[n] == "run" and n not in self.asking:
-                self.asking[n] = self.now()
-                self.looks += 1
-                factory = Query("GET /v1/fleet", if_ok(partial(self._answered, n)))
-                self.reactor.connectTCP(*self.mgmt_at[n], factory, timeout=ASKED)
-            elif n in self.asking and self.now() - self.asking[n] > 5.0:
-                del self.asking[n]
-        self.reactor.callLater(LOOK, self._look)
-
-    def _add_up(self) -> None:
-        """Asks all what they hold, and what they spent."""
+            if self.expected_state[n] == "run" and n not in self.queried_at:
+                self.queried_at[n] = self.now()
+                self.view_queries += 1
+                factory = Query("GET /v1/fleet", if_ok(partial(self._view_received, n)))
+                self.reactor.connectTCP(*self.mgmt_addresses[n], factory, timeout=QUERY_TIMEOUT)
+            elif n in self.queried_at and self.now() - self.queried_at[n] > 5.0:
+                del self.queried_at[n]
+        self.reactor.callLater(VIEW_INTERVAL, self._query_views)
+
+    def _query_budgets(self) -> None:
+        """Queries all processes for the slots that they hold and for the times of spending."""
         if self.audit is None or self.ending or not self.watched:
             return
         for n in range(len(self.names)):
             if self.expected_state[n] == "run":
-                asked = [("/v1/budgets", partial(self._holds, n))]
-                asked += [
-                    (f"/v1/budgets/{name}", partial(self._spent, n, name))
-                    for name, book in self.audit.observed.items()
-                    if book.resource in ("set-ups", "repeats")
+                queries = [("/v1/budgets", partial(self._budgets_received, n))]
+                queries += [
+                    (f"/v1/budgets/{name}", partial(self._spending_received, n, name))
+                    for name, budget in self.audit.observed.items()
+                    if budget.resource in ("set-ups", "repeats")
                 ]
-                for path, done in asked:
+                for path, done in queries:
                     self.reactor.connectTCP(
-                        *self.mgmt_at[n], Query(f"GET {path}", if_ok(done)), timeout=ASKED
+                        *self.mgmt_addresses[n], Query(f"GET {path}", if_ok(done)), timeout=QUERY_TIMEOUT
                     )
-        self.reactor.callLater(ADDED, self._add_up)
+        self.reactor.callLater(BUDGET_INTERVAL, self._query_budgets)
 
-    def _holds(self, n: int, view: Any) -> None:
+    def _budgets_received(self, n: int, view: Any) -> None:
         if view is not None and "budgets" in view and self.audit is not None:
             self.audit.record_held(n, view)
 
-    def _spent(self, n: int, name: str, said: Any) -> None:
-        if said is not None and "spent_ms" in said and self.audit is not None:
-            self.audit.record_spent(n, name, said["spent_ms"])
+    def _spending_received(self, n: int, name: str, spending: Any) -> None:
+        if spending is not None and "spent_ms" in spending and self.audit is not None:
+            self.audit.record_spent(n, name, spending["spent_ms"])
 
-    def _came(self, call: str, klass: str) -> None:
+    def _setup_received(self, call: str, call_class: str) -> None:
         if self.audit is not None:
-            self.audit.record_arrival(self.reactor.seconds() * 1000.0, call, klass)
+            self.audit.record_arrival(self.reactor.seconds() * 1000.0, call, call_class)
 
-    def _answered(self, n: int, view: Any) -> None:
-        self.asking.pop(n, None)
+    def _view_received(self, n: int, view: Any) -> None:
+        self.queried_at.pop(n, None)
         if view is None or "members" not in view:
-            self.unread += 1
+            self.failed_queries += 1
             return
         if self.expected_state[n] != "run":
             return
-        if n not in self.ready:  # the process that was started anew tells its view
+        if n not in self.ready:  # the first view of a restarted process
             self.ready.add(n)
             self.links.unavailable.discard(self.names[n])
             self.links.mark_disturbed(self.now() * 1000, (self.names[n],))
-        before, self.views[n] = self.views.get(n), view
+        previous, self.views[n] = self.views.get(n), view
         for member in view["members"]:
             if member["state"] != "gone" or member["name"] not in self.sites:
                 continue
-            said = f"{self.names[n]} of {member['name']}, incarnation {member['incarnation']}"
+            report = f"{self.names[n]} of {member['name']}, incarnation {member['incarnation']}"
             same = ("name", "state", "incarnation")
-            known = before is not None and any(
-                all(m[key] == member[key] for key in same) for m in before["members"]
+            known = previous is not None and any(
+                all(m[key] == member[key] for key in same) for m in previous["members"]
             )
-            # What is said of a life that truly ended, by one who only now hears of it, accuses nobody.
+            # A late report about a process that really has ended is not false.
             own = self.views.get(self.names.index(member["name"]), {"members": ()})
             runs = any(
                 m["name"] == member["name"] and m["boot"] == member["boot"] and m["state"] == "alive"
                 for m in own["members"]
             )
-            excused = self.links.is_exempt(self.now() * 1000, self.names[n], member["name"])
-            if runs and not known and not excused:
-                self.false_gone.setdefault(said)
+            exempt = self.links.is_exempt(self.now() * 1000, self.names[n], member["name"])
+            if runs and not known and not exempt:
+                self.false_gone.setdefault(report)
 
-    def agree(self) -> bool:
-        """All running processes tell one view, and it is true."""
+    def views_agree(self) -> bool:
+        """Whether all running processes report the same view and it is correct."""
         running = [n for n in range(len(self.names)) if self.expected_state[n] == "run"]
         if any(n not in self.views or n not in self.ready for n in running):
             return False
@@ -496,32 +511,41 @@
         alive = {m["name"] for m in self.views[running[0]]["members"] if m["state"] == "alive"}
         return alive == {self.names[n] for n in running}
 
-    def _judge(self) -> None:
+    def _update_events(self) -> None:
         now = self.now()
-        agreed = self.agree()
+        agreed = self.views_agree()
         if agreed and self.start_s is None:
             self.start_s = round(now, 2)
         for e in self.events:
-            if agreed and e.settled is None and e.ended is not None and now > e.ended + LOOK:
-                e.settled = round(now - e.ended, 2)
-            if e.fault.what in ("kill", "leave", "restart") and e.known is None and now > e.began + LOOK:
-                dead = set(select_members(e.fault.who, self.sites))
+            if (
+                agreed
+                and e.settled_after is None
+                and e.ended_at is not None
+                and now > e.ended_at + VIEW_INTERVAL
+            ):
+                e.settled_after = round(now - e.ended_at, 2)
+            if (
+                e.fault.what in ("kill", "leave", "restart")
+                and e.detected_after is None
+                and now > e.started_at + VIEW_INTERVAL
+            ):
+                ended = set(select_members(e.fault.who, self.sites))
                 running = [
                     n
                     for n in self.views
-                    if self.expected_state[n] == "run" and n in self.ready and self.names[n] not in dead
+                    if self.expected_state[n] == "run" and n in self.ready and self.names[n] not in ended
                 ]
                 if running and all(
                     m["state"] not in ("alive", "joining")
                     for n in running
                     for m in self.views[n]["members"]
-                    if m["name"] in dead
+                    if m["name"] in ended
                 ):
-                    e.known = round(now - e.began, 2)
+                    e.detected_after = round(now - e.started_at, 2)
 
     def _stop(self) -> None:
         if not self.ending:
-            self._judge()
+            self._update_events()
             for n, program in enumerate(self.programs):
                 if self.expected_state[n] == "stopped" and program.poll() is None:
                     program.send_signal(signal.SIGCONT)
@@ -531,18 +555,21 @@
         for relay in self.relays.values():
             relay.stop()
         super()._end_programs()
-        for thread in self.pipes:
+        for thread in self.log_threads:
             thread.join(2.0)
 
     def run_and_report(self) -> DrillReport:
-        """Plays the drill and tells what it showed. FleetFailed if a softswitch did not come up or ended."""
+        """Runs the drill and returns its results.
+
+        Raises FleetFailed if a softswitch did not start, or ended unexpectedly.
+        """
         result = self.play()
         total = result.total()
-        settled = self.start_s is not None and all(e.settled is not None for e in self.events)
+        settled = self.start_s is not None and all(e.settled_after is not None for e in self.events)
         settled |= not self.watched
         return DrillReport(
             len(self.names),
-            self.places,
+            self.site_count,
             self.day.seed,
             self.day.seconds,
             settled,
@@ -555,8 +582,8 @@
             total.unanswered,
             total.second_answers,
             total.wrong_description,
-            self.looks,
-            self.unread,
+            self.view_queries,
+            self.failed_queries,
             self.audit.to_dict() if self.audit else {},
             self.audit.exceeded() if self.audit else [],
         )
