--- a/softswitch/standin/faults/budget_simulation.py
+++ b/softswitch/standin/faults/budget_simulation.py
@@ -1,8 +1,8 @@
-"""Budgets on virtual time: the very code of `budgets/`, clocks that run apart, a schedule of faults, and a
-checker on true time, which no member sees.
+"""Simulates budgets on virtual time: runs the code of `budgets/` with drifting clocks under faults.
 
-A run is a function of its arguments. After each step the checker holds what all hold, and what all spent in
-any window, to the whole; and that at most one process is in office.
+Runs with the same arguments are identical. After each step the checker, which uses true time, verifies for
+each budget that neither the slots held by all members nor the slots spent in any window exceed the total, and
+that at most one process is the allocator.
 """
 
 from __future__ import annotations
@@ -24,35 +24,39 @@
 from softswitch.standin.faults.schedule import Fault, select_members
 
 ENCODER = msgspec.msgpack.Encoder()
-LATE, LATEST = 0.01, 6_000.0  # share of messages that are held up somewhere, and for how long at most, ms
-INBOX = 500  # messages that wait for a process that is stopped
-ASK = 200.0  # ms between two times that needs are told
-EPSILON = 1e-6  # ms; of rounding in the clocks
+LATE_RATIO, MAX_LATENESS = 0.01, 6_000.0  # fraction of late messages, and their maximum extra delay in ms
+INBOX_SIZE = 500  # messages that wait for a paused process
+NEEDS_INTERVAL = 200.0  # ms between two updates of a client's needs
+EPSILON = 1e-6  # ms; rounding errors of the clocks
 
 
 class InvariantViolationError(Exception):
-    """A rule that must hold at each step did not; the text says which, who and when."""
+    """A violated invariant. The message names the invariant, the time and the members or figures."""
 
 
 class Clock:
-    """A member's clock: ms, of an origin of its own, running apart from true time by up to `drift`."""
+    """A member's clock in ms. It has its own origin, and its rate differs from true time by up to `drift`."""
 
-    def __init__(self, world: BudgetSimulation, rate: float, start: float) -> None:
-        self.world, self.rate, self.told, self.since = world, rate, start, world.now
+    def __init__(self, simulation: BudgetSimulation, rate: float, start: float) -> None:
+        self.simulation, self.rate, self.reading, self.read_at = simulation, rate, start, simulation.now
 
     def __call__(self) -> float:
-        return self.told + (self.world.now - self.since) * self.rate
+        """The current reading."""
+        return self.reading + (self.simulation.now - self.read_at) * self.rate
 
-    def runs(self, rate: float) -> None:
-        self.told, self.since, self.rate = self(), self.world.now, rate
+    def set_rate(self, rate: float) -> None:
+        """Changes the rate from now on."""
+        self.reading, self.read_at, self.rate = self(), self.simulation.now, rate
 
-    def true(self, told: float) -> float:
-        """When it will tell this, if its rate stays."""
-        return self.since + (told - self.told) / self.rate
+    def true_time(self, reading: float) -> float:
+        """True time of a reading, if the rate does not change."""
+        return self.read_at + (reading - self.reading) / self.rate
 
 
 @dataclass(slots=True)
 class Node:
+    """One process: its lease client, its clock, its state and its traffic."""
+
     name: str
     address: str
     clock: Clock
@@ -61,46 +65,56 @@
     spending: Spending | None = None
     up: bool = False
     boots: int = 0
-    stopped_until: float = 0.0
-    inbox: list[Any] = field(default_factory=list)
-    catches: bool = False  # stopped in the middle of its next answer, which goes out as it goes on
-    stuck: list[Any] = field(default_factory=list)
+    paused_until: float = 0.0
+    inbox: list[Any] = field(default_factory=list)  # messages, and names of budgets for calls
+    # Paused while it handles the next lease request: the reply is sent when it resumes.
+    paused_in_request: bool = False
+    unsent: list[Any] = field(default_factory=list)
     bytes_out: int = 0
     messages: int = 0
 
 
 @dataclass(slots=True)
 class BudgetUsage:
-    """What a run showed of one budget."""
+    """The use of one budget in a run, in slots."""
 
     requested: int = 0
     spent: int = 0
     max_spent: int = 0  # in any window
-    max_held: int = 0
+    max_held: int = 0  # by all members together
 
 
 @dataclass(slots=True)
 class Outcome:
+    """The results of a run."""
+
     settled: bool
     violation: str
     events: int
     usage: dict[str, BudgetUsage]
-    elections: int
-    lapses: int
+    elections: int  # of allocators
+    lapses: int  # leases that expired
     bytes_s: float
     messages_s: float
-    steps_over_total: int = 0  # steps at which a sum was above its whole, where that does not end the run
+    steps_over_total: int = 0  # steps at which a total was exceeded; a strict run ends at the first
 
 
-Demand = Callable[[float, str, str], float]  # true time in ms, node, budget -> calls a second
+Demand = Callable[[float, str, str], float]  # true time in ms, node, budget -> calls per second
 
 
 def uniform_demand(rate: float) -> Demand:
+    """A demand of `rate` calls per second at each node, for each budget, at all times."""
     return lambda now, node, budget: rate
 
 
 class BudgetSimulation:
-    """Members, links, clocks and time."""
+    """Members, links, clocks and virtual time.
+
+    `late` is the fraction of messages that are delayed by up to MAX_LATENESS ms more, `lose` the fraction
+    that is lost. `plans` contains new plans with time and member, `join_at` the start times of members that
+    start later than the others. If not `strict`, exceeded totals are only counted. `on_sample` is called
+    every 100 ms.
+    """
 
     def __init__(
         self,
@@ -113,17 +127,17 @@
         make: Callable[..., Any] = LeaseClient,
         strict: bool = True,
         drift: float | None = None,
-        late: float = LATE,
+        late: float = LATE_RATIO,
         lose: float = 0.0,
         plans: Sequence[tuple[float, str, Plan]] = (),
-        look: Callable[[BudgetSimulation], None] | None = None,
+        on_sample: Callable[[BudgetSimulation], None] | None = None,
         join_at: dict[str, float] | None = None,
     ) -> None:
         self.rng, self.now, self.plan, self.make, self.strict = Random(seed), 0.0, plan, make, strict
         self.drift = plan.drift if drift is None else drift
-        self.late, self.lose, self.demand = late, lose, demand or uniform_demand(5.0)
+        self.late_ratio, self.loss_ratio, self.demand = late, lose, demand or uniform_demand(5.0)
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.ordered = self.events = self.steps_over_total = self.lapses = self.elections = 0
+        self.sequence = self.events = self.steps_over_total = self.lapses = self.elections = 0
         names = [f"n{n}" for n in range(members)]
         self.sites = {name: "abcdefghijkl"[n % sites] for n, name in enumerate(names)}
         self.links = Links(self.sites, self.rng)
@@ -131,46 +145,48 @@
         self.by_address = {n.address: n for n in self.nodes.values()}
         self.usage = {b.name: BudgetUsage() for b in plan.budgets}
         self.uses: dict[str, deque[float]] = {b.name: deque() for b in plan.budgets}
-        self.totals = {b.name: b.total for b in plan.budgets}  # that bind now
+        self.totals = {b.name: b.total for b in plan.budgets}  # currently in force
         self.log: list[tuple[float, str]] = []
         for name, node in self.nodes.items():
-            self.at((join_at or {}).get(name, self.rng.uniform(0, 300)), self._start, node)
+            self.call_at((join_at or {}).get(name, self.rng.uniform(0, 300)), self._start, node)
             for b in plan.budgets:
-                self.at(self.rng.uniform(0, 500), self._arrive, node, b.name)
+                self.call_at(self.rng.uniform(0, 500), self._call_arrived, node, b.name)
         for fault in faults:
-            self.at(fault.at_s * 1000, self._begin, fault)
-        for when, name, made in plans:
-            self.at(when, self._reload, self.nodes[name], made)
-        self.look = look
-        if look is not None:
-            self.at(100.0, self._look)
+            self.call_at(fault.at_s * 1000, self._start_fault, fault)
+        for when, name, new_plan in plans:
+            self.call_at(when, self._reload, self.nodes[name], new_plan)
+        self.on_sample = on_sample
+        if on_sample is not None:
+            self.call_at(100.0, self._sample)
 
     def _clock(self) -> Clock:
         return Clock(self, 1 + self.rng.choice((-1, 0, 1)) * self.drift, self.rng.uniform(0, 1e7))
 
-    def at(self, when: float, what: Callable[..., None], *args: Any) -> None:
-        self.ordered += 1
-        heappush(self.queue, (when, self.ordered, what, args))
+    def call_at(self, when: float, callback: Callable[..., None], *args: Any) -> None:
+        """Schedules a callback."""
+        self.sequence += 1
+        heappush(self.queue, (when, self.sequence, callback, args))
 
     def run(self, until: float) -> None:
+        """Runs until this time (ms)."""
         while self.queue and self.queue[0][0] <= until:
-            self.now, _, what, args = heappop(self.queue)
+            self.now, _, callback, args = heappop(self.queue)
             self.events += 1
-            what(*args)
+            callback(*args)
             self._check()
         self.now = until
 
-    def _look(self) -> None:
-        assert self.look is not None
-        self.look(self)
-        self.at(self.now + 100.0, self._look)
+    def _sample(self) -> None:
+        assert self.on_sample is not None
+        self.on_sample(self)
+        self.call_at(self.now + 100.0, self._sample)
 
     # processes
 
     def _start(self, node: Node) -> None:
         if node.up:
             return
-        node.up, node.boots, node.inbox, node.stuck = True, node.boots + 1, [], []
+        node.up, node.boots, node.inbox, node.unsent = True, node.boots + 1, [], []
         clock = node.clock
         node.client = self.make(
             node.plan, node.address, self.rng.getrandbits(62), self.rng.getrandbits(32), clock()
@@ -178,167 +194,169 @@
         client = node.client
         node.spending = Spending(node.plan, lambda now, name: client.held(now, name), clock)
         self._tick(node, node.boots)
-        self._needs(node, node.boots)
+        self._update_needs(node, node.boots)
 
-    def _end(self, node: Node) -> None:
-        node.up, node.client, node.spending, node.inbox, node.stuck = False, None, None, [], []
-        node.catches = False
+    def _end_process(self, node: Node) -> None:
+        node.up, node.client, node.spending, node.inbox, node.unsent = False, None, None, [], []
+        node.paused_in_request = False
 
-    def _needs(self, node: Node, boot: int) -> None:
+    def _update_needs(self, node: Node, boot: int) -> None:
         if node.up and node.boots == boot:
-            if node.stopped_until <= self.now and node.spending is not None:
+            if node.paused_until <= self.now and node.spending is not None:
                 node.client.set_needs(node.clock(), node.spending.needs())
-            self.at(self.now + ASK, self._needs, node, boot)
+            self.call_at(self.now + NEEDS_INTERVAL, self._update_needs, node, boot)
 
     def _tick(self, node: Node, boot: int) -> None:
         if not node.up or node.boots != boot:
             return None
-        if node.stopped_until > self.now:
-            return self.at(node.stopped_until, self._tick, node, boot)
-        self._do(node, node.client.tick(node.clock()))
-        due = node.clock.true(node.client.next_at())
-        self.at(max(self.now + 1.0, min(due, self.now + 250.0)), self._tick, node, boot)
+        if node.paused_until > self.now:
+            return self.call_at(node.paused_until, self._tick, node, boot)
+        self._perform(node, node.client.tick(node.clock()))
+        due = node.clock.true_time(node.client.next_at())
+        self.call_at(max(self.now + 1.0, min(due, self.now + 250.0)), self._tick, node, boot)
         return None
 
-    def _arrive(self, node: Node, name: str) -> None:
+    def _call_arrived(self, node: Node, name: str) -> None:
         rate = self.demand(self.now, node.name, name)
-        self.at(self.now + self.rng.expovariate(max(rate, 0.01)) * 1000, self._arrive, node, name)
+        self.call_at(self.now + self.rng.expovariate(max(rate, 0.01)) * 1000, self._call_arrived, node, name)
         if rate > 0 and node.up and node.spending is not None:
-            if node.stopped_until > self.now:
+            if node.paused_until > self.now:
                 if sum(1 for item in node.inbox if item == name) < 40:
-                    node.inbox.insert(0, name)  # it is served as the process goes on, before all else
+                    node.inbox.insert(0, name)  # served first when the process resumes
             else:
-                self._call(node, name)
+                self._place_call(node, name)
 
-    def _call(self, node: Node, name: str) -> None:
+    def _place_call(self, node: Node, name: str) -> None:
         assert node.spending is not None
-        told = self.usage[name]
-        told.requested += 1
-        klass = node.plan.by_name[name].call_class if name in node.plan.by_name else ""
-        if name in node.plan.by_name and not node.spending.admit(klass, 1.0):
-            told.spent += 1
+        usage = self.usage[name]
+        usage.requested += 1
+        call_class = node.plan.by_name[name].call_class if name in node.plan.by_name else ""
+        if name in node.plan.by_name and not node.spending.admit(call_class, 1.0):
+            usage.spent += 1
             self.uses[name].append(self.now)
 
     def _reload(self, node: Node, plan: Plan) -> None:
         node.plan = plan
         if node.up and node.spending is not None:
-            self._do(node, node.client.change_plan(node.clock(), plan))
+            self._perform(node, node.client.change_plan(node.clock(), plan))
             node.spending.set_plan(node.client.plan)
 
     # links
 
-    def _do(self, node: Node, acts: list[Any]) -> None:
-        for act in acts:
-            if isinstance(act, SendMessage):
-                if node.stopped_until > self.now:
-                    node.stuck.append(act)
+    def _perform(self, node: Node, actions: list[Any]) -> None:
+        for action in actions:
+            if isinstance(action, SendMessage):
+                if node.paused_until > self.now:
+                    node.unsent.append(action)
                 else:
-                    self._send(node, act)
-            elif isinstance(act, Notice):
-                self.log.append((self.now, f"{node.name}: {act.kind.value}: {act.details}"))
-                self.lapses += act.kind is NoticeKind.AT_THE_FLOOR
-                self.elections += act.kind is NoticeKind.ELECTED
-
-    def _send(self, src: Node, act: SendMessage) -> None:
-        src.bytes_out += len(ENCODER.encode(act.message)) + 60
+                    self._send(node, action)
+            elif isinstance(action, Notice):
+                self.log.append((self.now, f"{node.name}: {action.kind.value}: {action.details}"))
+                self.lapses += action.kind is NoticeKind.AT_THE_FLOOR
+                self.elections += action.kind is NoticeKind.ELECTED
+
+    def _send(self, src: Node, action: SendMessage) -> None:
+        src.bytes_out += len(ENCODER.encode(action.message)) + 60
         src.messages += 1
-        dst = self.by_address.get(act.to)
-        way = self.links.conditions(src.name, dst.name) if dst is not None else None
-        if dst is None or way is None or way.corrupt:
+        dst = self.by_address.get(action.to)
+        link = self.links.conditions(src.name, dst.name) if dst is not None else None
+        if dst is None or link is None or link.corrupt:
             return
-        if self.rng.random() < 1 - (1 - self.lose) * (1 - way.loss_ratio):
+        if self.rng.random() < 1 - (1 - self.loss_ratio) * (1 - link.loss_ratio):
             return
-        for _ in range(2 if way.duplicated or self.rng.random() < 0.02 else 1):
-            wait = self.rng.uniform(0.2, 1.5) + way.delay
-            if self.rng.random() < self.late:
-                wait += self.rng.uniform(0.0, LATEST)
-            self.at(self.now + wait, self._arrives, dst, act.message)
+        for _ in range(2 if link.duplicated or self.rng.random() < 0.02 else 1):
+            delay = self.rng.uniform(0.2, 1.5) + link.delay
+            if self.rng.random() < self.late_ratio:
+                delay += self.rng.uniform(0.0, MAX_LATENESS)
+            self.call_at(self.now + delay, self._message_arrived, dst, action.message)
 
-    def _arrives(self, node: Node, message: Any) -> None:
+    def _message_arrived(self, node: Node, message: Any) -> None:
         if not node.up:
             return
-        if node.stopped_until > self.now:
-            if node.catches and isinstance(message, LeaseRequest):
-                node.catches = False  # it had begun to answer this one as it was stopped
-                self._do(node, node.client.message_received(node.clock(), message))
-            elif len(node.inbox) < INBOX:
+        if node.paused_until > self.now:
+            if node.paused_in_request and isinstance(message, LeaseRequest):
+                node.paused_in_request = False  # it was paused while it handled this request
+                self._perform(node, node.client.message_received(node.clock(), message))
+            elif len(node.inbox) < INBOX_SIZE:
                 node.inbox.append(message)
             return
-        self._do(node, node.client.message_received(node.clock(), message))
+        self._perform(node, node.client.message_received(node.clock(), message))
 
     # faults
 
-    def _begin(self, fault: Fault) -> None:
+    def _start_fault(self, fault: Fault) -> None:
         self.log.append((self.now, f"{fault.what} {' '.join(fault.who)}"))
         for name in select_members(fault.who, self.sites):
             node = self.nodes[name]
             if fault.what in ("kill", "restart", "leave") and node.up:
-                if fault.what != "kill" and node.stopped_until <= self.now:
-                    self._do(node, node.client.stop(node.clock()))
-                self._end(node)
+                if fault.what != "kill" and node.paused_until <= self.now:
+                    self._perform(node, node.client.stop(node.clock()))
+                self._end_process(node)
                 if fault.for_s:
-                    self.at(self.now + fault.for_s * 1000, self._start, node)
+                    self.call_at(self.now + fault.for_s * 1000, self._start, node)
             elif fault.what == "stop" and node.up:
-                node.stopped_until = max(node.stopped_until, self.now + fault.for_s * 1000)
-                node.catches = self.rng.random() < 0.5
-                self.at(node.stopped_until, self._continued, node, node.boots)
-        on = self.links.begin(self.now, fault)
-        if on is not None and fault.for_s:
-            self.at(self.now + fault.for_s * 1000, self._over, on)
-        if self.rng.random() < 0.3:  # clocks do not keep their rates either
+                node.paused_until = max(node.paused_until, self.now + fault.for_s * 1000)
+                node.paused_in_request = self.rng.random() < 0.5
+                self.call_at(node.paused_until, self._resume, node, node.boots)
+        active = self.links.begin(self.now, fault)
+        if active is not None and fault.for_s:
+            self.call_at(self.now + fault.for_s * 1000, self._end_link_fault, active)
+        if self.rng.random() < 0.3:  # the rates of clocks change too
             for node in self.nodes.values():
-                node.clock.runs(1 + self.rng.choice((-1, 0, 1)) * self.drift)
+                node.clock.set_rate(1 + self.rng.choice((-1, 0, 1)) * self.drift)
 
-    def _over(self, on: ActiveFault) -> None:
-        self.links.end(self.now, on)
+    def _end_link_fault(self, active: ActiveFault) -> None:
+        self.links.end(self.now, active)
 
-    def _continued(self, node: Node, boot: int) -> None:
-        if not node.up or node.boots != boot or node.stopped_until > self.now:
+    def _resume(self, node: Node, boot: int) -> None:
+        if not node.up or node.boots != boot or node.paused_until > self.now:
             return
-        stuck, node.stuck = node.stuck, []
-        for act in stuck:
-            self._send(node, act)
-        inbox, node.inbox, node.catches = node.inbox, [], False
+        unsent, node.unsent = node.unsent, []
+        for action in unsent:
+            self._send(node, action)
+        inbox, node.inbox, node.paused_in_request = node.inbox, [], False
         for item in inbox:
             if isinstance(item, str):
-                self._call(node, item)
+                self._place_call(node, item)
             else:
-                self._do(node, node.client.message_received(node.clock(), item))
+                self._perform(node, node.client.message_received(node.clock(), item))
 
     # the checker
 
     def held(self, name: str) -> int:
+        """Slots of a budget that all members hold together."""
         return sum(n.client.held(n.clock(), name) for n in self.nodes.values() if n.up)
 
     def _check(self) -> None:
-        in_office = [
+        leaders = [
             n.name
             for n in self.nodes.values()
             if n.up and n.client.votes and n.client.allocator.is_leader(n.clock())
         ]
-        if len(in_office) > 1:
+        if len(leaders) > 1:
             raise InvariantViolationError(
-                f"{self.now:.0f} ms: {' and '.join(in_office)} are in office at once"
+                f"{self.now:.0f} ms: {' and '.join(leaders)} are the allocator at the same time"
             )
         for b in self.plan.budgets:
-            held, whole, told = self.held(b.name), self.totals[b.name], self.usage[b.name]
+            held, total, usage = self.held(b.name), self.totals[b.name], self.usage[b.name]
             uses = self.uses[b.name]
             while uses and uses[0] <= self.now - b.window + EPSILON:
                 uses.popleft()
-            told.max_spent, told.max_held = max(told.max_spent, len(uses)), max(told.max_held, held)
-            if held > whole or len(uses) > whole:
+            usage.max_spent, usage.max_held = max(usage.max_spent, len(uses)), max(usage.max_held, held)
+            if held > total or len(uses) > total:
                 self.steps_over_total += 1
                 if self.strict:
                     raise InvariantViolationError(
                         f"{self.now:.0f} ms: {b.name}: {held} slots held, {len(uses)} used in "
-                        f"{b.window:.0f} ms, the whole is {whole}"
+                        f"{b.window:.0f} ms, the total is {total}"
                     )
 
     def settled(self) -> bool:
-        """One allocator, and everyone has its part from it; with no majority of voters up, all are at their
-        floors.
+        """Whether there is one allocator and every running member has a lease.
+
+        Without a majority of the voters, whether no running member has one, so that all use their floors.
         """
-        up = [n for n in self.nodes.values() if n.up and n.stopped_until <= self.now]
+        up = [n for n in self.nodes.values() if n.up and n.paused_until <= self.now]
         if sum(n.client.votes for n in up) < self.plan.quorum:
             return all(n.client.holder.has_no_lease for n in up)
         return (
@@ -348,28 +366,29 @@
 
 
 def address_of(n: int) -> str:
+    """Address of the nth member."""
     return f"10.0.{n >> 8}.{n & 255}:7946"
 
 
 def run_simulation(
     plan: Plan, members: int, sites: int, seconds: float, seed: int, faults: Sequence[Fault], **more: Any
 ) -> Outcome:
-    """One run, with what the checker saw."""
-    world = BudgetSimulation(plan, members, sites, seed, faults, **more)
+    """Runs one simulation and returns its results."""
+    simulation = BudgetSimulation(plan, members, sites, seed, faults, **more)
     violation = ""
     try:
-        world.run(seconds * 1000)
+        simulation.run(seconds * 1000)
     except InvariantViolationError as e:
         violation = str(e)
-    nodes = world.nodes.values()
+    nodes = simulation.nodes.values()
     return Outcome(
-        not violation and world.settled(),
+        not violation and simulation.settled(),
         violation,
-        world.events,
-        world.usage,
-        world.elections,
-        world.lapses,
+        simulation.events,
+        simulation.usage,
+        simulation.elections,
+        simulation.lapses,
         sum(n.bytes_out for n in nodes) / seconds / members,
         sum(n.messages for n in nodes) / seconds / members,
-        world.steps_over_total,
+        simulation.steps_over_total,
     )
