--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -371,9 +371,9 @@
         from softswitch.standin.faults.budget_model import Model
 
         model = Model(3)
-        for state_name, start in model.starts().items():
+        for state_name, start in model.initial_states().items():
             for seed in range(max_seeds // 4):
-                if failure := model.wander(start, seed, STEPS):
+                if failure := model.random_walk(start, seed, STEPS):
                     return f"random walk {seed} from '{state_name}'", failure
     finally:
         undo()
@@ -400,7 +400,7 @@
 
     members, name, max_states = task
     model = Model(members)
-    return name, model.explore(model.starts()[name], max_states)
+    return name, model.explore(model.initial_states()[name], max_states)
 
 
 def run_walks(task):
@@ -409,9 +409,11 @@
 
     members, name, first, last, steps = task
     model = Model(members)
-    start = model.starts()[name]
+    start = model.initial_states()[name]
     return [
-        (name, seed, failure) for seed in range(first, last) if (failure := model.wander(start, seed, steps))
+        (name, seed, failure)
+        for seed in range(first, last)
+        if (failure := model.random_walk(start, seed, steps))
     ]
 
 
@@ -422,7 +424,7 @@
     """
     from softswitch.standin.faults.budget_model import Model
 
-    started_at, names, states, violated = time.monotonic(), list(Model(members).starts()), 0, 0
+    started_at, names, states, violated = time.monotonic(), list(Model(members).initial_states()), 0, 0
     with ProcessPoolExecutor(len(sched_getaffinity(0))) as pool:
         explored = pool.map(explore_from, [(members, n, max_states) for n in names])
         for name, (count, depth, violation) in explored:
--- a/softswitch/cli/fleet.py
+++ b/softswitch/cli/fleet.py
@@ -245,9 +245,9 @@
     try:
         if live:
             with live:
-                result = drill.seen()
+                result = drill.run_and_report()
         else:
-            result = drill.seen()
+            result = drill.run_and_report()
     except FleetFailed as e:
         exit_with_error(e)
     if keep:
@@ -256,9 +256,9 @@
         except OSError as e:
             exit_with_error(f"{keep}: {e.strerror}; name a writable file")
     if as_json:
-        print(orjson.dumps(result.told()).decode())
+        print(orjson.dumps(result.to_dict()).decode())
     else:
-        console.print(faults_table(result.told()))
+        console.print(faults_table(result.to_dict()))
         if result.budgets:
             console.print(budgets_table(result.budgets))
         console.print(
@@ -267,7 +267,7 @@
             f"{result.unanswered} without a response in time",
             markup=False,
         )
-    raise typer.Exit(0 if result.settled and not result.false_gone and not result.above else 1)
+    raise typer.Exit(0 if result.settled and not result.false_gone and not result.exceeded_budgets else 1)
 
 
 def load_budgets(path: str, members: int) -> list[dict[str, Any]]:
@@ -325,7 +325,7 @@
         table.add_row(
             name,
             drill.sites[name],
-            drill.meant[n],
+            drill.expected_state[n],
             str(states.count("alive")) if view else "-",
             str(states.count("suspect")),
             str(states.count("gone")),
