--- a/benchmarks/cold_engines.py
+++ b/benchmarks/cold_engines.py
@@ -12,7 +12,7 @@
 from statistics import mean
 from time import time
 
-from softswitch.standin.board import Listed
+from softswitch.standin.board import ListedEngine
 from softswitch.standin.engine import EngineSettings
 from softswitch.standin.faults.drill import Drill
 
@@ -71,22 +71,26 @@
             },
         )()
         for engine in self.engines:
-            engine.set = EngineSettings(
-                engine.set.name,
-                engine.set.cell,
+            engine.settings = EngineSettings(
+                engine.settings.name,
+                engine.settings.cell,
                 400,
-                hold=engine.set.hold,
+                hold=engine.settings.hold,
                 work=1 / BEARS / 1.4,
-                bears=BEARS,
-                cold=COLD_S,
-                cold_from=COLD_FROM,
+                warm_capacity=BEARS,
+                warm_up=COLD_S,
+                initial_capacity=COLD_FROM,
                 overload_factor=FACTOR,
             )
-            engine.on_born = self._born
+            engine.on_started = self._born
         super()._start()
 
     def _born(self, engine):
-        self.board.change(Listed(engine.set.name, engine.at, engine.set.cell, born_ms=int(time() * 1000) - 5))
+        self.board.change(
+            ListedEngine(
+                engine.settings.name, engine.address, engine.settings.cell, born_ms=int(time() * 1000) - 5
+            )
+        )
 
     def _one_up(self):
         super()._one_up()
--- a/benchmarks/operation.py
+++ b/benchmarks/operation.py
@@ -37,12 +37,12 @@
     from twisted.internet import reactor
 
     from softswitch.cli.demo import day
-    from softswitch.standin.board import Board, Listed
+    from softswitch.standin.board import Board, ListedEngine
     from softswitch.standin.engine import Engine
 
     made = day(10.0, 100.0, 3, 400, 1)
     engines = [Engine(reactor, e, n) for n, e in enumerate(made.engines)]
-    board = Board(reactor, [Listed(e.set.name, e.listen(), e.set.cell) for e in engines])
+    board = Board(reactor, [ListedEngine(e.settings.name, e.listen(), e.settings.cell) for e in engines])
     at = board.listen()
     print(
         json.dumps(
--- a/benchmarks/replay_sockets.py
+++ b/benchmarks/replay_sockets.py
@@ -48,7 +48,7 @@
             streams=(stream(10, number="0"), stream(8, dest=1, number="1")),
         ),
         "overflow, reserve": dict(
-            engines=(engine(0, 8), engine(1, 14, reserve=3, own="1")),
+            engines=(engine(0, 8), engine(1, 14, reserve=3, reserve_prefix="1")),
             classes=one,
             streams=(stream(10, number="0"), stream(8, dest=1, number="1")),
         ),
--- a/softswitch/cli/demo.py
+++ b/softswitch/cli/demo.py
@@ -93,13 +93,13 @@
     )
     for e in fleet.engines:
         engines.add_row(
-            e.set.name,
-            str(e.set.circuits),
+            e.settings.name,
+            str(e.settings.circuits),
             str(e.used),
             str(e.count["set-ups"]),
             str(e.count["refused: circuits"]),
             str(e.count["refused: processor"]),
-            f"{e.queued * 1000:.0f}",
+            f"{e.queued_work * 1000:.0f}",
         )
     return Group(calls, engines)
 
--- a/softswitch/standin/board.py
+++ b/softswitch/standin/board.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedEngine:
     """One engine as the board lists it."""
 
     name: str  # `s-` and 8 hex digits
@@ -65,14 +65,14 @@
             self.after = int.from_bytes(self.data[:8], "big")
             for number, kind, payload in self.board.events:
                 if number > self.after:
-                    self.say(number, kind, payload)
+                    self.send(number, kind, payload)
             self.board.lines[self] = None
 
     def connectionLost(self, reason: object = None) -> None:
         """Called by Twisted."""
         self.board.lines.pop(self, None)
 
-    def say(self, number: int, kind: int, payload: bytes = b"") -> None:
+    def send(self, number: int, kind: int, payload: bytes = b"") -> None:
         """Sends one event."""
         self.transport.write(
             pack(">I", EVENT_HEADER.size + len(payload)) + EVENT_HEADER.pack(number, kind) + payload
@@ -84,7 +84,7 @@
 
     noisy = False
 
-    def __init__(self, reactor: Any, listed: list[Listed]) -> None:
+    def __init__(self, reactor: Any, listed: list[ListedEngine]) -> None:
         self.reactor = reactor
         self.listed = {one.name: one for one in listed}
         self.number = 1
@@ -109,7 +109,7 @@
     def _beat(self) -> None:
         self.beat = self.reactor.callLater(1.0, self._beat)
         for line in self.lines:
-            line.say(self.number, NO_CHANGE)
+            line.send(self.number, NO_CHANGE)
 
     def stop(self) -> None:
         """Closes everything."""
@@ -118,7 +118,7 @@
         for line in list(self.lines):
             line.transport.abortConnection()
 
-    def change(self, *changed: Listed) -> None:
+    def change(self, *changed: ListedEngine) -> None:
         """Tells everybody of these entries, new or changed."""
         self.number += 1
         self.listed |= {one.name: one for one in changed}
@@ -126,7 +126,7 @@
         if len(self.events) > 1_000:
             self.events = [(self.number, COMPLETE, self._all())]
         for line in self.lines:
-            line.say(*self.events[-1])
+            line.send(*self.events[-1])
         for one in changed:
             if one.health == "left":
                 del self.listed[one.name]
--- a/softswitch/standin/engine.py
+++ b/softswitch/standin/engine.py
@@ -56,15 +56,15 @@
     longest_wait: float = 2.5  # seconds of the processor's queue over which set-ups are refused
     state_every: float = 0.5  # seconds between two states told unasked
     reserve: int = 0  # circuits kept for calls whose number begins with `own`
-    own: str = ""
+    reserve_prefix: str = ""
     # A started engine is cold for so long; it bears `cold_from` of `bears` set-ups a second at first, then
     # more. More than `overload_factor` times what it bears then, within `overload_for`, push it over.
-    bears: float = 0.0  # 0: it is warm at once
-    cold: float = 6.0
-    cold_from: float = 0.3
+    warm_capacity: float = 0.0  # 0: it is warm at once
+    warm_up: float = 6.0
+    initial_capacity: float = 0.3
     overload_factor: float = 3.0
-    overload_for: float = 1.0
-    down_for: float = 2.0  # seconds after a fall until it is started again
+    overload_window: float = 1.0
+    restart_delay: float = 2.0  # seconds after a fall until it is started again
 
     def __post_init__(self) -> None:
         if self.circuits < 1 or self.reserve < 0 or self.reserve >= self.circuits:
@@ -111,9 +111,9 @@
             self.engine.count[f"unreadable: {e}"] += 1
             self.transport.loseConnection()
             return
-        self.engine.heard(self, message.type, message.call, message.parameters)
+        self.engine.message_received(self, message.type, message.call, message.parameters)
 
-    def say(self, kind: int, call: str, *parameters: tuple[int, bytes]) -> None:
+    def send(self, kind: int, call: str, *parameters: tuple[int, bytes]) -> None:
         """Sends one message, unless the connection is over."""
         if self.transport.connected:
             self.sendString(encode_message(kind, call, *parameters))
@@ -131,9 +131,11 @@
         seed: int,
         watch: Callable[[str, str], None] | None = None,
     ) -> None:
-        self.reactor, self.set, self.random = reactor, settings, Random(seed)
+        self.reactor, self.settings, self.random = reactor, settings, Random(seed)
         self.watch = watch or (lambda what, call: None)
-        self.came: Callable[[str, str], None] | None = None  # told (call, class) of each set-up as it comes
+        self.on_setup: Callable[[str, str], None] | None = (
+            None  # told (call, class) of each set-up as it comes
+        )
         self.lines: dict[EngineSide, None] = {}
         self.calls: dict[str, Standing] = {}
         self.unsaid: dict[str, bytes] = {}  # releases with no connection to go out on; at most 4,096
@@ -142,12 +144,12 @@
         self.integral, self.since = 0.0, reactor.seconds()  # circuit-seconds in use
         self.new: deque[tuple[float, Callable[[], None]]] = deque()
         self.rest: deque[tuple[float, Callable[[], None]]] = deque()
-        self.queued, self.working = 0.0, False  # seconds of work that wait
+        self.queued_work, self.working = 0.0, False  # seconds of work that wait
         self.slow = 1.0  # times as slow as it is
         self.port: Any = None
-        self.at: tuple[str, int] | None = None
+        self.address: tuple[str, int] | None = None
         self.born: float | None = None  # when it was started, where it began cold
-        self.on_born: Callable[[Engine], None] | None = None
+        self.on_started: Callable[[Engine], None] | None = None
         self.lately: deque[float] = deque()  # set-ups of the last `overload_for`, while it is cold
         self.beat: Any = None
         self.waiting: dict[str, EngineSide] = {}  # set-ups in the processor's queue
@@ -156,8 +158,8 @@
         """Listens, and tells its state from now on."""
         self.port = self.reactor.listenTCP(port, self, interface=host, backlog=64)
         self._state()
-        self.at = host, self.port.getHost().port
-        return self.at
+        self.address = host, self.port.getHost().port
+        return self.address
 
     def restart(self) -> None:
         """A new process at the same address, cold."""
@@ -168,31 +170,36 @@
         self._again()
 
     def _again(self) -> None:
-        assert self.at is not None
+        assert self.address is not None
         try:
-            self.listen(*self.at)
+            self.listen(*self.address)
         except CannotListenError:  # the socket of before is closed at the end of this turn of the reactor
             self.reactor.callLater(0.01, self._again)
             return
-        if self.on_born is not None:
-            self.on_born(self)
+        if self.on_started is not None:
+            self.on_started(self)
 
-    def warmth(self) -> float:
+    def capacity_fraction(self) -> float:
         """The share of what it bears when warm that it bears now."""
-        age = self.reactor.seconds() - self.born if self.born is not None else self.set.cold
-        if not self.set.bears or age >= self.set.cold:
+        age = self.reactor.seconds() - self.born if self.born is not None else self.settings.warm_up
+        if not self.settings.warm_capacity or age >= self.settings.warm_up:
             return 1.0
-        return float(self.set.cold_from ** (1 - age / self.set.cold))
+        return float(self.settings.initial_capacity ** (1 - age / self.settings.warm_up))
 
     def _falls(self) -> bool:
         """Whether this set-up is the one too many for a cold engine."""
-        now, warmth = self.reactor.seconds(), self.warmth()
-        if warmth >= 1.0:
+        now, fraction = self.reactor.seconds(), self.capacity_fraction()
+        if fraction >= 1.0:
             return False
         self.lately.append(now)
-        while self.lately[0] <= now - self.set.overload_for:
+        while self.lately[0] <= now - self.settings.overload_window:
             self.lately.popleft()
-        bears = self.set.overload_factor * self.set.bears * warmth * self.set.overload_for
+        bears = (
+            self.settings.overload_factor
+            * self.settings.warm_capacity
+            * fraction
+            * self.settings.overload_window
+        )
         self.count["most of what a cold engine bears, %"] = max(
             self.count["most of what a cold engine bears, %"], round(100 * len(self.lately) / bears)
         )
@@ -202,7 +209,7 @@
     def _fall(self) -> None:
         self.count["fell"] += 1
         self.stop()
-        self.reactor.callLater(self.set.down_for, self.restart)
+        self.reactor.callLater(self.settings.restart_delay, self.restart)
 
     def stop(self) -> None:
         """A crash: connections are reset, calls are gone."""
@@ -228,7 +235,7 @@
     @property
     def free(self) -> int:
         """Circuits that no call has."""
-        return self.set.circuits - self.used
+        return self.settings.circuits - self.used
 
     def _use(self, circuits: int) -> None:
         now = self.reactor.seconds()
@@ -239,26 +246,26 @@
         """Queues a piece of work, in shares of a set-up's. With a processor that costs nothing, it is
         done.
         """
-        cost = share * self.set.work * self.slow / self.warmth()
+        cost = share * self.settings.work * self.slow / self.capacity_fraction()
         if cost <= 0 and not self.working:
             what()
             return
         (self.new if new else self.rest).append((cost, what))
-        self.queued += cost
+        self.queued_work += cost
         if not self.working:
             self._next()
 
     def _next(self) -> None:
         queue = self.new or self.rest
         if not queue:
-            self.working, self.queued = False, 0.0
+            self.working, self.queued_work = False, 0.0
             return
         self.working = True
         cost, what = queue.popleft()
         self.reactor.callLater(cost, self._done, cost, what)
 
     def _done(self, cost: float, what: Callable[[], None]) -> None:
-        self.queued = max(0.0, self.queued - cost)
+        self.queued_work = max(0.0, self.queued_work - cost)
         what()
         self._next()
 
@@ -266,22 +273,22 @@
 
     def report(self) -> bytes:
         """The load report."""
-        each = self.set.work * self.slow * (1 + self.set.answer_work + self.set.release_work)
-        left = max(0.0, 1 - self.queued / max(self.set.longest_wait, 1e-9))
-        return b"x0:%d;x1:%d;qps:%.1f" % (self.free, self.set.circuits, left / each if each else 10_000)
+        each = self.settings.work * self.slow * (1 + self.settings.answer_work + self.settings.release_work)
+        left = max(0.0, 1 - self.queued_work / max(self.settings.longest_wait, 1e-9))
+        return b"x0:%d;x1:%d;qps:%.1f" % (self.free, self.settings.circuits, left / each if each else 10_000)
 
     def _state(self) -> None:
-        self.beat = self.reactor.callLater(self.set.state_every, self._state)
+        self.beat = self.reactor.callLater(self.settings.state_every, self._state)
         for line in self.lines:
-            line.say(MessageType.STATE, NO_CALL, (Parameter.REPORT, self.report()))
+            line.send(MessageType.STATE, NO_CALL, (Parameter.REPORT, self.report()))
 
     def opened(self, line: EngineSide) -> None:
         """A connection is up: it hears the state first, then releases that had none to go out on."""
         self.lines[line] = None
-        line.say(MessageType.STATE, NO_CALL, (Parameter.REPORT, self.report()))
+        line.send(MessageType.STATE, NO_CALL, (Parameter.REPORT, self.report()))
         unsaid, self.unsaid = self.unsaid, {}
         for call, said in unsaid.items():
-            line.say(MessageType.RELEASE, call, (Parameter.CAUSE, said), (Parameter.REPORT, self.report()))
+            line.send(MessageType.RELEASE, call, (Parameter.CAUSE, said), (Parameter.REPORT, self.report()))
 
     def closed(self, line: EngineSide) -> None:
         """Set-ups open there are given up; calls that stand go on."""
@@ -291,18 +298,20 @@
         for call in [c for c, s in self.calls.items() if s.line is line and not s.answered]:
             self._forget(call)
 
-    def heard(self, line: EngineSide, kind: int, call: str, said: dict[int, bytes]) -> None:
+    def message_received(self, line: EngineSide, kind: int, call: str, said: dict[int, bytes]) -> None:
         """A message came from a softswitch."""
         if kind == MessageType.SETUP:
             self.count["set-ups"] += 1
             self.watch("set-up", call)
-            if self.came is not None:
-                self.came(call, said.get(Parameter.CALL_CLASS, b"").decode("latin-1"))
+            if self.on_setup is not None:
+                self.on_setup(call, said.get(Parameter.CALL_CLASS, b"").decode("latin-1"))
             if self._falls():
                 return self._fall()
-            if self.queued > self.set.longest_wait:
+            if self.queued_work > self.settings.longest_wait:
                 self.count["refused: processor"] += 1
-                self._work(self.set.refuse_work, lambda: self._refuse(line, call, NO_CIRCUIT, b"cpu_full"))
+                self._work(
+                    self.settings.refuse_work, lambda: self._refuse(line, call, NO_CIRCUIT, b"cpu_full")
+                )
             else:
                 self.waiting[call] = line
                 self._work(1.0, lambda: self._look(line, call, said), new=True)
@@ -311,9 +320,9 @@
             if call in self.calls:
                 self.count["released by softswitches"] += 1
                 self._forget(call)
-                self._work(self.set.release_work, lambda: line.say(MessageType.ACKNOWLEDGE, call))
+                self._work(self.settings.release_work, lambda: line.send(MessageType.ACKNOWLEDGE, call))
         elif kind == MessageType.PROBE:
-            line.say(
+            line.send(
                 MessageType.PROBE_ANSWER, call, (Parameter.CAUSE, b"\1"), (Parameter.REPORT, self.report())
             )
         return None
@@ -323,18 +332,22 @@
             self.count["given up"] += 1
             return
         klass = said.get(Parameter.CALL_CLASS, b"").decode("latin-1")
-        width, number = self.set.widths.get(klass, 1), said.get(Parameter.NUMBER, b"").decode("latin-1")
-        kept = self.set.reserve if not number.startswith(self.set.own) else 0
+        width, number = self.settings.widths.get(klass, 1), said.get(Parameter.NUMBER, b"").decode("latin-1")
+        kept = self.settings.reserve if not number.startswith(self.settings.reserve_prefix) else 0
         if self.free < width + kept:
             self.count["refused: circuits"] += 1
-            self._work(self.set.refuse_work, lambda: self._refuse(line, call, NO_CIRCUIT, b"all_trunks_busy"))
+            self._work(
+                self.settings.refuse_work, lambda: self._refuse(line, call, NO_CIRCUIT, b"all_trunks_busy")
+            )
             return
         self._use(width)
         self.calls[call] = Standing(line, width, klass)
-        self._work(self.set.answer_work, lambda: self._answer(call, said.get(Parameter.DESCRIPTION, b"")))
+        self._work(
+            self.settings.answer_work, lambda: self._answer(call, said.get(Parameter.DESCRIPTION, b""))
+        )
 
     def _refuse(self, line: EngineSide, call: str, cause: int, note: bytes) -> None:
-        line.say(
+        line.send(
             MessageType.RELEASE,
             call,
             (Parameter.CAUSE, bytes((cause,))),
@@ -349,12 +362,12 @@
         standing.answered = True
         self.count["stood"] += 1
         self.watch("stands", call)
-        mean = self.set.hold.get(standing.klass, 8.0)
-        held = self.random.expovariate(1 / mean) if self.set.hold_kind == "exponential" else mean
-        standing.line.say(
+        mean = self.settings.hold.get(standing.klass, 8.0)
+        held = self.random.expovariate(1 / mean) if self.settings.hold_kind == "exponential" else mean
+        standing.line.send(
             MessageType.ANSWER,
             call,
-            (Parameter.DESCRIPTION, b"engine " + self.set.name.encode() + b"\r\n" + description),
+            (Parameter.DESCRIPTION, b"engine " + self.settings.name.encode() + b"\r\n" + description),
         )
         standing.end = self.reactor.callLater(held, self._ends, call)
 
@@ -363,13 +376,13 @@
         if standing is not None:
             self.count["ended"] += 1
             self._forget(call)
-            self._work(self.set.release_work, lambda: self._tell_end(standing.line, call, NORMAL))
+            self._work(self.settings.release_work, lambda: self._tell_end(standing.line, call, NORMAL))
 
     def _tell_end(self, line: EngineSide, call: str, cause: int) -> None:
         self.watch("over", call)
         line = line if line in self.lines else next(iter(self.lines), line)
         if line in self.lines:
-            line.say(
+            line.send(
                 MessageType.RELEASE,
                 call,
                 (Parameter.CAUSE, bytes((cause,))),
--- a/softswitch/standin/faults/drill.py
+++ b/softswitch/standin/faults/drill.py
@@ -174,7 +174,7 @@
         self.heavy, self.moves_s, self.draws = heavy, moves_s, Random(seed + 1)
         if self.audit is not None:
             for engine in self.engines:
-                engine.came = self._came
+                engine.on_setup = self._came
         self.names = [f"n{n}" for n in range(softswitches)]
         self.sites = {name: "abcdefghijkl"[n % sites] for n, name in enumerate(self.names)}
         self.places = sites
--- a/softswitch/standin/fleet.py
+++ b/softswitch/standin/fleet.py
@@ -22,7 +22,7 @@
 
 from softswitch import environment
 from softswitch.standin.addresses import own_host
-from softswitch.standin.board import Board, Listed
+from softswitch.standin.board import Board, ListedEngine
 from softswitch.standin.caller import Callers, Tally
 from softswitch.standin.engine import Engine, EngineSettings
 from softswitch.standin.traffic import StreamSettings, merged
@@ -156,7 +156,7 @@
         return self._result()
 
     def _start(self) -> None:
-        listed = [Listed(e.set.name, e.listen(own_host()), e.set.cell) for e in self.engines]
+        listed = [ListedEngine(e.settings.name, e.listen(own_host()), e.settings.cell) for e in self.engines]
         self.board = Board(self.reactor, listed)
         board = self.board.listen(own_host())
         for n in range(self.day.softswitches):
@@ -340,8 +340,8 @@
                 tallies.setdefault(key, Tally()).add(tally)
         engines = [
             {
-                "cell": e.set.cell,
-                "circuits": e.set.circuits,
+                "cell": e.settings.cell,
+                "circuits": e.settings.circuits,
                 "erlangs": load,
                 **{k: v - base.get(k, 0) for k, v in e.count.items()},
             }
--- a/softswitch/standin/soak/run.py
+++ b/softswitch/standin/soak/run.py
@@ -23,7 +23,7 @@
 
 from softswitch import environment
 from softswitch.standin.addresses import own_hosts
-from softswitch.standin.board import Listed
+from softswitch.standin.board import ListedEngine
 from softswitch.standin.engine import EngineSettings
 from softswitch.standin.fleet import ROOT
 from softswitch.standin.http_query import HTTP_OK, Query
@@ -109,7 +109,7 @@
         self.name = f"n{n}"
         self.address = (host, SIP_PORT)
         self.engines = [self._engine(k) for k in range(soak.plan.engines)]
-        listed = [Listed(e.set.name, e.listen(host), e.set.cell) for e in self.engines]
+        listed = [ListedEngine(e.settings.name, e.listen(host), e.settings.cell) for e in self.engines]
         self.board = SoakBoard(soak.reactor, listed)
         self.board_address = self.board.listen(host)
         self.folder = Path(soak.dir.name, self.name)
@@ -282,10 +282,10 @@
             engine.reset_connections()
         elif fault.fault is EngineFault.HANG:
             engine.hung = True
-            self.note(f"{engine.set.name} hangs")
+            self.note(f"{engine.settings.name} hangs")
             await self.soak.sleep(fault.seconds)
             engine.hung = False
-            self.note(f"{engine.set.name} goes on")
+            self.note(f"{engine.settings.name} goes on")
         else:
             await self._drain(engine, fault.seconds)
 
@@ -295,16 +295,16 @@
         await self._drain(self.engines[n], seconds)
 
     async def _drain(self, engine: SoakEngine, seconds: float) -> None:
-        if engine.set.name in self.soak.checker.drained:
+        if engine.settings.name in self.soak.checker.drained:
             return
-        self.note(f"{engine.set.name} drains")
+        self.note(f"{engine.settings.name} drains")
         self.board.change_health(engine, "leaving")
-        self.soak.checker.engine_drained(self.soak.now(), engine.set.name)
+        self.soak.checker.engine_drained(self.soak.now(), engine.settings.name)
         await self.soak.sleep(seconds)
         self.board.change_health(engine, "left")
         engine.stop()
         await self.soak.sleep(1.0)
-        self.soak.checker.engine_back(engine.set.name)
+        self.soak.checker.engine_back(engine.settings.name)
         engine.restart()
         self.board.change_health(engine, "active", born_ms=int(time() * 1000))
 
--- a/softswitch/standin/soak/world.py
+++ b/softswitch/standin/soak/world.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import Protocol
 
 from softswitch.net.engine_codec import MessageType, Parameter
-from softswitch.standin.board import Board, BoardSide, Listed
+from softswitch.standin.board import Board, BoardSide, ListedEngine
 from softswitch.standin.caller import CallerLine, Callers
 from softswitch.standin.engine import Engine, EngineSettings, EngineSide
 from softswitch.standin.soak.checker import ANSWER_ALLOWANCE, Checker, SetupFields
@@ -92,9 +92,9 @@
     ) -> None:
         if self.attempts.pop(call, None) is not None:
             now = self.reactor.seconds()
-            self.checker.attempt_ended(now, call, self.set.name, what, may_have_run, needs_quiet)
+            self.checker.attempt_ended(now, call, self.settings.name, what, may_have_run, needs_quiet)
 
-    def heard(self, line: EngineSide, kind: int, call: str, said: dict[int, bytes]) -> None:
+    def message_received(self, line: EngineSide, kind: int, call: str, said: dict[int, bytes]) -> None:
         """A message came; a hung engine does nothing with it."""
         now = self.reactor.seconds()
         if kind == MessageType.SETUP:
@@ -108,11 +108,11 @@
             faults, weights = zip(*self.pressure.attempt_faults, strict=True)
             self._spoil(line, call, self.draws.choices(faults, weights)[0])
         else:
-            super().heard(line, kind, call, said)
+            super().message_received(line, kind, call, said)
 
     def _setup_came(self, now: float, line: EngineSide, call: str, said: dict[int, bytes]) -> None:
         lag = self.lag.lag
-        self.checker.attempt(now, call, self.set.name, lag)
+        self.checker.attempt(now, call, self.settings.name, lag)
         self.attempts[call] = line
         call_class, number = (
             said.get(p, b"").decode("latin-1") for p in (Parameter.CALL_CLASS, Parameter.NUMBER)
@@ -131,7 +131,7 @@
         parameters = [(Parameter.CAUSE, bytes((cause,))), (Parameter.NOTE, note)]
         if fault is AttemptFault.FULL:
             parameters.append((PROCESSOR_WAIT, b"%d" % self.draws.uniform(*FULL_FOR)))
-        line.say(MessageType.RELEASE, call, *parameters)
+        line.send(MessageType.RELEASE, call, *parameters)
 
     def opened(self, line: EngineSide) -> None:
         """A connection is up: releases that had none go out.
@@ -145,7 +145,7 @@
         again, self.written_releases = self.written_releases, {}
         for call, cause in again.items():
             self._note_release(line, call, "release written once more")
-            line.say(MessageType.RELEASE, call, (Parameter.CAUSE, bytes((cause,))))
+            line.send(MessageType.RELEASE, call, (Parameter.CAUSE, bytes((cause,))))
 
     def closed(self, line: EngineSide) -> None:
         """A connection is over, and the attempts on it."""
@@ -156,7 +156,7 @@
 
     def _note(self, line: EngineSide, event: str) -> None:
         """An event of a connection; its port tells it from the others."""
-        event = f"{self.set.name} from {_port(line)}: {event}"
+        event = f"{self.settings.name} from {_port(line)}: {event}"
         self.checker.timeline.note(self.reactor.seconds(), self.softswitch, event)
 
     def _note_release(self, line: EngineSide, call: str, event: str) -> None:
@@ -164,7 +164,7 @@
 
     def stop(self) -> None:
         """A crash: its calls are gone."""
-        self.checker.engine_stopped(self.set.name)
+        self.checker.engine_stopped(self.settings.name)
         super().stop()
 
     def reset_connections(self) -> None:
@@ -176,7 +176,7 @@
 
     def _state(self) -> None:
         if self.hung:
-            self.beat = self.reactor.callLater(self.set.state_every, self._state)
+            self.beat = self.reactor.callLater(self.settings.state_every, self._state)
         else:
             super()._state()
 
@@ -207,11 +207,11 @@
 class SilentSide(BoardSide):
     """A softswitch's connection to a board that falls silent now and then."""
 
-    def say(self, number: int, kind: int, payload: bytes = b"") -> None:
+    def send(self, number: int, kind: int, payload: bytes = b"") -> None:
         """Nothing is said while the board is silent."""
         assert isinstance(self.board, SoakBoard)
         if not self.board.silent:
-            super().say(number, kind, payload)
+            super().send(number, kind, payload)
 
 
 class SoakBoard(Board):
@@ -234,12 +234,12 @@
         for number, kind, payload in self.events:
             if number > self._missed_from:
                 for line in self.lines:
-                    line.say(number, kind, payload)
+                    line.send(number, kind, payload)
 
     def change_health(self, engine: SoakEngine, health: str, born_ms: int = 0) -> None:
         """Tells everybody of an engine's health."""
-        assert engine.at is not None
-        self.change(Listed(engine.set.name, engine.at, engine.set.cell, health, born_ms))
+        assert engine.address is not None
+        self.change(ListedEngine(engine.settings.name, engine.address, engine.settings.cell, health, born_ms))
 
 
 class SoakCallers(Callers):
--- a/tests/test_slow_start_processes.py
+++ b/tests/test_slow_start_processes.py
@@ -26,15 +26,15 @@
         self.sent = []
         self.transport = type("Transport", (), {"abortConnection": lambda me: None, "connected": True})()
 
-    def say(self, kind, call, *parameters):
+    def send(self, kind, call, *parameters):
         self.sent.append((kind, call))
 
 
 def listening_engine(**more):
     """A clock, an engine and the list of its start times."""
     clock, started_at = FakeReactor(), []
-    engine = Engine(clock, EngineSettings("s-00000001", 0, bears=20.0, cold=6.0, **more), 1)
-    engine.on_born = lambda e: started_at.append(clock.seconds())
+    engine = Engine(clock, EngineSettings("s-00000001", 0, warm_capacity=20.0, warm_up=6.0, **more), 1)
+    engine.on_started = lambda e: started_at.append(clock.seconds())
     engine.listen(own_host())
     return clock, engine, started_at
 
@@ -45,7 +45,7 @@
     for n in range(round(rate * seconds)):
         if engine.count["fell"]:
             return
-        engine.heard(connection, MessageType.SETUP, f"{n:016x}", {Parameter.CALL_CLASS: b"x"})
+        engine.message_received(connection, MessageType.SETUP, f"{n:016x}", {Parameter.CALL_CLASS: b"x"})
         clock.advance(1 / rate)
 
 
@@ -58,10 +58,10 @@
     assert engine.count["fell"] == 1
     assert engine.port is None
     assert started_at == [0.0]
-    clock.advance(engine.set.down_for)
+    clock.advance(engine.settings.restart_delay)
     assert engine.port is not None
     assert len(started_at) == 2
-    assert engine.warmth() < 0.31
+    assert engine.capacity_fraction() < 0.31
 
 
 def test_a_warming_engine_withstands_its_permitted_load_and_more_as_it_warms_up():
@@ -69,10 +69,10 @@
     engine.restart()
     send_setups(clock, engine, 17.0, 3.0)
     assert engine.count["fell"] == 0
-    assert 0.5 < engine.warmth() < 0.6
+    assert 0.5 < engine.capacity_fraction() < 0.6
     assert 60 < engine.count["most of what a cold engine bears, %"] < 110
     clock.advance(3.5)
-    assert engine.warmth() == 1.0
+    assert engine.capacity_fraction() == 1.0
     send_setups(clock, engine, 200.0, 1.0)
     assert engine.count["fell"] == 0
 
@@ -81,4 +81,4 @@
     clock, engine, _ = listening_engine()
     send_setups(clock, engine, 200.0, 1.0)
     assert engine.count["fell"] == 0
-    assert engine.warmth() == 1.0
+    assert engine.capacity_fraction() == 1.0
