--- a/benchmarks/cold_engines.py
+++ b/benchmarks/cold_engines.py
@@ -92,9 +92,9 @@
             )
         )
 
-    def _one_up(self):
-        super()._one_up()
-        if self.up == self.day.softswitches:
+    def _softswitch_ready(self):
+        super()._softswitch_ready()
+        if self.ready_count == self.day.softswitches:
             self.reactor.callLater(RELEASE_AT, self._release)
             self.reactor.callLater(RELEASE_AT + SEEN_FOR, self._seen)
 
@@ -121,7 +121,7 @@
 
 def one(way, seed, heavy):
     drill = Release(way, seed, heavy)
-    drill.play()
+    drill.run()
     print(json.dumps(drill.shown))
 
 
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -28,22 +28,22 @@
             read = (Path(f"/proc/{p.pid}/schedstat").read_text().split()[0] for p in self.programs)
             return sum(map(int, read)) / 1e9
 
-        def _counted(self):
-            super()._counted()
+        def _start_counting(self):
+            super()._start_counting()
             self.used = -self.spent()
 
-        def _over(self):
+        def _finish_when_idle(self):
             if len(self.marks) == 1:
                 self.used += self.spent()
-            super()._over()
+            super()._finish_when_idle()
 
     rate = 30.0 * softswitches
     view, budgets = (on, ()) if what == "view" else (True, BUDGETS if on else ())
     drill = Measured(
         softswitches, 2, WARM + seconds, seed, (), rate=rate, view=view, watched=False, budgets=budgets
     )
-    drill.day = replace(drill.day, warm=WARM, seconds=seconds)
-    total = drill.play().total()
+    drill.day = replace(drill.day, warm_up=WARM, seconds=seconds)
+    total = drill.run().total()
     print(drill.used / total.tries, total.delay_s / max(1, total.carried), total.carried / total.tries)
 
 
--- a/benchmarks/record_cost.py
+++ b/benchmarks/record_cost.py
@@ -20,7 +20,7 @@
     fields = {name: getattr(made, name) for name in made.__dataclass_fields__} | {
         "record_interval": 5.0 if record else 0.0
     }
-    result = Fleet(Day(**fields)).play()
+    result = Fleet(Day(**fields)).run()
     used = resource.getrusage(resource.RUSAGE_CHILDREN)
     print((used.ru_utime + used.ru_stime) / result.total().tries)
 
--- a/benchmarks/replay_sockets.py
+++ b/benchmarks/replay_sockets.py
@@ -53,7 +53,12 @@
             streams=(stream(10, number="0"), stream(8, dest=1, number="1")),
         ),
         "redials": dict(
-            engines=(engine(0, 20),), classes=one, streams=(stream(17),), tries=4, again=0.8, pause=4 * HOLD
+            engines=(engine(0, 20),),
+            classes=one,
+            streams=(stream(17),),
+            tries=4,
+            redial_probability=0.8,
+            redial_delay=4 * HOLD,
         ),
     }
 
@@ -70,13 +75,13 @@
     day = Day(
         **days()[name],
         seconds=seconds,
-        warm=10 * HOLD,
+        warm_up=10 * HOLD,
         seed=seed,
         record_interval=10.0,
         record_slot=0.1,
-        patience=2.0,
+        answer_timeout=2.0,
     )
-    result = Fleet(day).play()
+    result = Fleet(day).run()
     streams = measured([read(p) for p in result.records]).streams
     samples = {(s.dest, s.klass): sample_of(s) for s in streams}
     found = {k: report.steady(s) for k, s in samples.items()}
--- a/softswitch/cli/demo.py
+++ b/softswitch/cli/demo.py
@@ -44,17 +44,17 @@
         seed=seed,
         record_interval=5.0,
         record_slot=0.5,
-        patience=3.0,
+        answer_timeout=3.0,
         tries=2,
-        again=0.5,
-        pause=1.0,
-        honour=True,
+        redial_probability=0.5,
+        redial_delay=1.0,
+        honour_retry_after=True,
     )
 
 
 def table(fleet: Fleet) -> Group:
     """What is seen now, from the stand-ins' side."""
-    now = fleet.reactor.seconds() - fleet.began
+    now = fleet.reactor.seconds() - fleet.started_at
     calls = Table(
         "class",
         "first choice",
@@ -126,9 +126,9 @@
     try:
         if live:
             with live:
-                result = fleet.play()
+                result = fleet.run()
         else:
-            result = fleet.play()
+            result = fleet.run()
     except FleetFailed as e:
         bad(e)
     (file,) = result.records
@@ -141,7 +141,7 @@
             bad(f"{keep}: {e.strerror}; name a file that can be written")
     if as_json:
         said: dict[str, Any] = {
-            "callers": total.told(),
+            "callers": total.as_dict(),
             "engines": result.engines,
             "traffic": told,
             "kept": keep,
--- a/softswitch/standin/caller.py
+++ b/softswitch/standin/caller.py
@@ -38,7 +38,7 @@
             setattr(self, name, getattr(self, name) + getattr(other, name))
         self.codes.update(other.codes)
 
-    def told(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         """The figures, for a JSON object."""
         return {name: getattr(self, name) for name in FIGURES} | {
             "codes": {str(code): n for code, n in sorted(self.codes.items())}
@@ -109,9 +109,9 @@
     def _whole(self, body: bytes) -> None:
         first, headers = self.first, self.headers
         self._begin()
-        self.callers.heard(self, first, headers, body)
+        self.callers.message_received(self, first, headers, body)
 
-    def say(self, first: str, call: str, method: str, *more: str, body: bytes = b"") -> None:
+    def send(self, first: str, call: str, method: str, *more: str, body: bytes = b"") -> None:
         """Sends one message."""
         lines = (
             first,
@@ -142,16 +142,16 @@
         reactor: Any,
         address: tuple[str, int],
         seed: int,
-        patience: float = 3.0,
+        answer_timeout: float = 3.0,
         tries: int = 1,
-        again: float = 0.0,
-        pause: float = 1.0,
-        honour: bool = False,
+        redial_probability: float = 0.0,
+        redial_delay: float = 1.0,
+        honour_retry_after: bool = False,
     ) -> None:
         self.clock_, self.address, self.random = reactor, address, Random(seed)
-        self.patience, self.tries, self.again = patience, tries, again
-        self.pause, self.honour = pause, honour
-        self.line: CallerLine | None = None
+        self.answer_timeout, self.tries, self.redial_probability = answer_timeout, tries, redial_probability
+        self.redial_delay, self.honour_retry_after = redial_delay, honour_retry_after
+        self.connection: CallerLine | None = None
         self.waiting: dict[str, Try] = {}
         self.standing: dict[str, Tally] = {}
         self.tallies: dict[tuple[str, int], Tally] = {}
@@ -170,13 +170,13 @@
 
     def up(self, line: CallerLine) -> None:
         """A connection is up."""
-        self.line = line
-        line.say("OPTIONS sip:ping@net SIP/2.0", "00" * 8, "OPTIONS")
+        self.connection = line
+        line.send("OPTIONS sip:ping@net SIP/2.0", "00" * 8, "OPTIONS")
 
     def down(self, line: CallerLine) -> None:
         """A connection is over."""
-        if self.line is line:
-            self.line = None
+        if self.connection is line:
+            self.connection = None
 
     def stop(self) -> None:
         """Waits for nothing any more, and closes."""
@@ -184,8 +184,8 @@
         for one in self.waiting.values():
             if one.timer.active():
                 one.timer.cancel()
-        if self.line is not None:
-            self.line.transport.abortConnection()
+        if self.connection is not None:
+            self.connection.transport.abortConnection()
 
     @property
     def open(self) -> int:
@@ -202,17 +202,17 @@
         call = f"{self.last:016x}"
         description = b"v=0 " + call.encode()
         one = self.waiting[call] = Try(stream, tally, self.clock_.seconds(), nth, description)
-        one.timer = self.clock_.callLater(self.patience, self._given_up, call)
-        if self.line is None:
+        one.timer = self.clock_.callLater(self.answer_timeout, self._given_up, call)
+        if self.connection is None:
             self._settle(call, 0, 0.0)
             return
         more = ("X-Retry: 1",) if nth else ()
-        self.line.say(
+        self.connection.send(
             f"INVITE sip:{stream.number}@net SIP/2.0",
             call,
             "INVITE",
             f"Subject: {stream.klass}",
-            f"X-Patience: {self.patience * 1000:.0f}",
+            f"X-Patience: {self.answer_timeout * 1000:.0f}",
             f"X-Facts: dest:{stream.dest};width:{stream.width};via:-1",
             *more,
             body=description,
@@ -221,8 +221,8 @@
     def _given_up(self, call: str) -> None:
         one = self.waiting[call]
         one.tally.unanswered += 1
-        if self.line is not None:
-            self.line.say(f"CANCEL sip:{one.stream.number}@net SIP/2.0", call, "CANCEL")
+        if self.connection is not None:
+            self.connection.send(f"CANCEL sip:{one.stream.number}@net SIP/2.0", call, "CANCEL")
         self._settle(call, 0, 0.0)
 
     def _settle(self, call: str, code: int, later: float) -> None:
@@ -232,10 +232,10 @@
             one.timer.cancel()
         one.tally.codes[code] += 1
         one.tally.refused_first += one.nth == 0
-        if one.nth + 1 < self.tries and self.random.random() < self.again:
-            wait = self.pause * self.random.uniform(0.5, 1.5)
+        if one.nth + 1 < self.tries and self.random.random() < self.redial_probability:
+            wait = self.redial_delay * self.random.uniform(0.5, 1.5)
             self.redials_due += 1
-            self.clock_.callLater(max(wait, later) if self.honour else wait, self._redial, one)
+            self.clock_.callLater(max(wait, later) if self.honour_retry_after else wait, self._redial, one)
         else:
             one.tally.lost += 1
 
@@ -243,12 +243,12 @@
         self.redials_due -= 1
         self.place(one.stream, one.tally, one.nth + 1)
 
-    def heard(self, line: CallerLine, first: str, headers: dict[str, str], body: bytes) -> None:
+    def message_received(self, line: CallerLine, first: str, headers: dict[str, str], body: bytes) -> None:
         """A message is complete."""
         call, method = headers.get("call-id", ""), headers.get("cseq", "").split(" ")[-1]
         if not first.startswith("SIP/"):
             if first.startswith("BYE"):
-                line.say("SIP/2.0 200 OK", call, "BYE")
+                line.send("SIP/2.0 200 OK", call, "BYE")
                 tally = self.standing.pop(call, None)
                 if tally is not None:
                     cut = "cause=16" not in headers.get("reason", "").replace(" ", "")
@@ -258,8 +258,8 @@
         code = int(first.split(" ")[1])
         if method == "OPTIONS":
             if self.on_up is not None:
-                told, self.on_up = self.on_up, None
-                told()
+                on_up, self.on_up = self.on_up, None
+                on_up()
             return
         if method != "INVITE" or code < 200:
             return
@@ -279,4 +279,4 @@
         one.tally.delay_s += self.clock_.seconds() - one.at
         one.tally.codes[200] += 1
         self.standing[call] = one.tally
-        line.say(f"ACK sip:{one.stream.number}@net SIP/2.0", call, "ACK")
+        line.send(f"ACK sip:{one.stream.number}@net SIP/2.0", call, "ACK")
--- a/softswitch/standin/faults/drill.py
+++ b/softswitch/standin/faults/drill.py
@@ -135,7 +135,7 @@
         seconds=seconds,
         softswitches=softswitches,
         seed=seed,
-        patience=3.0,
+        answer_timeout=3.0,
     )
 
 
@@ -198,7 +198,7 @@
 
     # the processes
 
-    def configured(self, n: int) -> dict[str, Any]:
+    def extra_configuration(self, n: int) -> dict[str, Any]:
         """The management address, at this process's own host."""
         return {"mgmt": f"{self.mgmt_at[n][0]}:{self.mgmt_at[n][1]}"}
 
@@ -242,7 +242,7 @@
     def _at(self, n: int) -> str:
         return "{}:{}".format(*self.peer_at[n])
 
-    def program(self, n: int) -> subprocess.Popen[bytes]:
+    def start_process(self, n: int) -> subprocess.Popen[bytes]:
         """Its log goes through a pipe: a limit on what the process may write must not hold up its log."""
         star = Path(self.dir.name, f"n{n}.star")
         env = os.environ | {"BALANCER_CONFIG": str(Path(self.dir.name, f"n{n}.json"))}
@@ -275,16 +275,16 @@
         """Whether it is a fault if this one has ended."""
         return self.meant[n] != "ended"
 
-    def caller_of(self, nth: int) -> Callers | None:
+    def callers_for(self, nth: int) -> Callers | None:
         """The callers of one that runs; one may get a larger share."""
-        up = [c for n, c in enumerate(self.callers) if self.meant[n] == "run" and c.line is not None]
+        up = [c for n, c in enumerate(self.callers) if self.meant[n] == "run" and c.connection is not None]
         if self.heavy and up and self.draws.random() < self.heavy:
             return up[int(self.now() // self.moves_s) % len(up) if self.moves_s else 0]
         return up[nth % len(up)] if up else None
 
-    def _one_up(self) -> None:
-        super()._one_up()
-        if self.up == self.day.softswitches:
+    def _softswitch_ready(self) -> None:
+        super()._softswitch_ready()
+        if self.ready_count == self.day.softswitches:
             self.links.away.clear()
             self.ready = set(range(len(self.names)))
             for fault in self.faults:
@@ -297,7 +297,7 @@
 
     def now(self) -> float:
         """Seconds of the day."""
-        return float(self.reactor.seconds()) - self.began
+        return float(self.reactor.seconds()) - self.started_at
 
     def _begin(self, fault: Fault) -> None:
         if self.ending:
@@ -378,7 +378,7 @@
             self.reactor.callLater(AGAIN_AFTER, self._again, n)
             return
         self.meant[n] = "run"
-        self.programs[n] = self.program(n)
+        self.programs[n] = self.start_process(n)
         self.links.touch(self.now() * 1000, (self.names[n],))
 
     def _flood(self, fault: Fault, members: list[int]) -> None:
@@ -536,7 +536,7 @@
 
     def seen(self) -> Seen:
         """Plays the drill and tells what it showed. FleetFailed if a softswitch did not come up or ended."""
-        result = self.play()
+        result = self.run()
         total = result.total()
         settled = self.start_s is not None and all(e.settled is not None for e in self.events)
         settled |= not self.watched
--- a/softswitch/standin/fleet.py
+++ b/softswitch/standin/fleet.py
@@ -57,15 +57,15 @@
     classes: tuple[ClassSettings, ...]
     streams: tuple[StreamSettings, ...]
     seconds: float
-    warm: float = 0.0
+    warm_up: float = 0.0
     softswitches: int = 1
     seed: int = 1
     max_attempts: int = 6
-    patience: float = 3.0
+    answer_timeout: float = 3.0
     tries: int = 1
-    again: float = 0.0
-    pause: float = 1.0
-    honour: bool = False
+    redial_probability: float = 0.0
+    redial_delay: float = 1.0
+    honour_retry_after: bool = False
     record_interval: float = 0.0  # seconds; 0: no traffic record
     record_slot: float = 0.5
     env: dict[str, str] = field(default_factory=dict)
@@ -134,8 +134,8 @@
         self.programs: list[subprocess.Popen[bytes]] = []
         self.logs: list[Path] = []
         self.failed, self.ending = "", 0.0
-        self.began = 0.0
-        self.plan = merged(list(day.streams), day.seed, day.warm + day.seconds)
+        self.started_at = 0.0
+        self.plan = merged(list(day.streams), day.seed, day.warm_up + day.seconds)
         self.next = 0
         self.fallen_behind = 0.0  # the latest that a call was placed after its time, in seconds
         self.carried_base: list[float] = []
@@ -144,7 +144,7 @@
 
     # the day
 
-    def play(self) -> Result:
+    def run(self) -> Result:
         """Blocks until the day is over and all that was started has ended. FleetFailed if it went wrong."""
         try:
             self.reactor.callWhenRunning(self._start)
@@ -173,30 +173,30 @@
                         "known": self.board.known(),
                         "settings": self.day.settings(),
                     }
-                    | self.configured(n)
+                    | self.extra_configuration(n)
                 )
             )
             if tables := self.operator_text(n):
                 Path(self.dir.name, f"n{n}.star").write_text(tables)
             self.logs.append(Path(self.dir.name, f"n{n}.log"))
-            self.programs.append(self.program(n))
+            self.programs.append(self.start_process(n))
             callers = Callers(
                 self.reactor,
                 (host, SIP_PORT),
                 self.day.seed * 65537 + n,
-                self.day.patience,
+                self.day.answer_timeout,
                 self.day.tries,
-                self.day.again,
-                self.day.pause,
-                self.day.honour,
+                self.day.redial_probability,
+                self.day.redial_delay,
+                self.day.honour_retry_after,
             )
-            callers.on_up = self._one_up
+            callers.on_up = self._softswitch_ready
             self.callers.append(callers)
             callers.connect()
-        self.up = 0
+        self.ready_count = 0
         self.deadline = self.reactor.callLater(READY_WITHIN, self._fail, "a softswitch did not come up")
 
-    def configured(self, n: int) -> dict[str, Any]:
+    def extra_configuration(self, n: int) -> dict[str, Any]:
         """Keys of the configuration that this softswitch has besides."""
         return {}
 
@@ -209,7 +209,7 @@
             f'"slot_s": {self.day.record_slot:g}}}\n'
         )
 
-    def program(self, n: int) -> subprocess.Popen[bytes]:
+    def start_process(self, n: int) -> subprocess.Popen[bytes]:
         """Starts a softswitch, for the first time or again; its log goes on."""
         star = Path(self.dir.name, f"n{n}.star")
         env = os.environ | {"BALANCER_CONFIG": str(Path(self.dir.name, f"n{n}.json"))} | self.day.env
@@ -236,36 +236,38 @@
             self.failed = "; ".join([why, *said])
             self._stop()
 
-    def _one_up(self) -> None:
-        self.up += 1
-        if self.up == self.day.softswitches:
+    def _softswitch_ready(self) -> None:
+        self.ready_count += 1
+        if self.ready_count == self.day.softswitches:
             self.deadline.cancel()
-            self.began = self.reactor.seconds()
+            self.started_at = self.reactor.seconds()
             self.started_unix = time()
-            self.reactor.callLater(self.day.warm, self._counted)
+            self.reactor.callLater(self.day.warm_up, self._start_counting)
             self.reactor.callLater(1.0, self._second)
             self._place()
 
     def _place(self) -> None:
         """Places all calls that are due, then sleeps until the next."""
-        now = self.reactor.seconds() - self.began
+        now = self.reactor.seconds() - self.started_at
         while self.next < len(self.plan) and self.plan[self.next][0] <= now:
             at, stream = self.plan[self.next]
             self.fallen_behind = max(self.fallen_behind, now - at)
-            callers = self.caller_of(self.next)
+            callers = self.callers_for(self.next)
             if callers is not None:
                 callers.place(stream)
             self.next += 1
         if self.next < len(self.plan):
             self.reactor.callLater(max(0.0, self.plan[self.next][0] - now), self._place)
         else:
-            self.reactor.callLater(max(0.0, self.day.warm + self.day.seconds - now), self._over)
+            self.reactor.callLater(
+                max(0.0, self.day.warm_up + self.day.seconds - now), self._finish_when_idle
+            )
 
-    def caller_of(self, nth: int) -> Callers | None:
+    def callers_for(self, nth: int) -> Callers | None:
         """Who places the nth call; None: nobody."""
         return self.callers[nth % len(self.callers)]
 
-    def _counted(self) -> None:
+    def _start_counting(self) -> None:
         """The warm-up is over: books are begun anew."""
         for callers in self.callers:
             callers.tallies = {}
@@ -291,7 +293,7 @@
         """Whether it is a fault if this one has ended."""
         return True
 
-    def _over(self) -> None:
+    def _finish_when_idle(self) -> None:
         """No more calls: what is open is awaited, so long as it may take."""
         if len(self.marks) == 1:
             self.marks.append(self.reactor.seconds())
@@ -300,8 +302,8 @@
                 engine._use(0)
                 self.loads.append((engine.integral - base) / max(1e-9, self.marks[1] - self.marks[0]))
         waited = self.reactor.seconds() - self.marks[1]
-        if any(c.open for c in self.callers) and waited < self.day.patience * self.day.tries + 10:
-            self.reactor.callLater(0.05, self._over)
+        if any(c.open for c in self.callers) and waited < self.day.answer_timeout * self.day.tries + 10:
+            self.reactor.callLater(0.05, self._finish_when_idle)
         else:
             self._stop()
 
--- a/softswitch/standin/soak/world.py
+++ b/softswitch/standin/soak/world.py
@@ -276,7 +276,7 @@
     def down(self, line: CallerLine) -> None:
         """The connection is over: what was sent on it is never answered."""
         self._note("caller's connection over")
-        if self.line is line:
+        if self.connection is line:
             self.checker.of(self.process()).caller_disconnected(self.reactor_now())
             self.checker.connection_ended(self.reactor_now(), list(self.waiting), self.was_killed())
         super().down(line)
@@ -290,9 +290,9 @@
 
     def place_call(self, call_class: CallClassPlan, destination: int, patience: float) -> None:
         """One call, unless no connection is up."""
-        if self.line is None:
+        if self.connection is None:
             return
-        self.patience = patience
+        self.answer_timeout = patience
         number = str(self.draws.randrange(NUMBERS))
         self.place(StreamSettings(call_class.name, 1.0, destination, number=number))
         call, now = f"{self.last:016x}", self.reactor_now()
@@ -308,24 +308,24 @@
 
     def _leave(self, call: str) -> None:
         one = self.waiting.get(call)
-        if one is None or self.line is None:
+        if one is None or self.connection is None:
             return
-        self.line.say(f"CANCEL sip:{one.stream.number}@net SIP/2.0", call, "CANCEL")
+        self.connection.send(f"CANCEL sip:{one.stream.number}@net SIP/2.0", call, "CANCEL")
         self.checker.caller_left(self.reactor_now(), call)
         self._settle(call, 0, 0.0)
 
     def _hang_up(self, call: str) -> None:
-        if call not in self.standing or self.line is None:
+        if call not in self.standing or self.connection is None:
             return
         del self.standing[call]
-        self.line.say("BYE sip:call@net SIP/2.0", call, "BYE", "Reason: Q.850;cause=16")
+        self.connection.send("BYE sip:call@net SIP/2.0", call, "BYE", "Reason: Q.850;cause=16")
         self.checker.caller_released_call(self.reactor_now(), call)
 
     def _given_up(self, call: str) -> None:
         self.checker.patience_over(self.reactor_now(), call)
         super()._given_up(call)
 
-    def heard(self, line: CallerLine, first: str, headers: dict[str, str], body: bytes) -> None:
+    def message_received(self, line: CallerLine, first: str, headers: dict[str, str], body: bytes) -> None:
         """A message came."""
         now, call = self.reactor_now(), headers.get("call-id", "")
         if first.startswith("BYE"):
@@ -334,7 +334,7 @@
             code = int(first.split(" ")[1])
             if code >= 200:
                 self.checker.answered(now, call, code, self.lag.lag)
-        super().heard(line, first, headers, body)
+        super().message_received(line, first, headers, body)
         if call in self.standing and self.draws.random() < self.pressure.hang_up:
             self.clock_.callLater(self.draws.uniform(0.0, 1.0), self._hang_up, call)
 
