--- a/softswitch/cli/soak.py
+++ b/softswitch/cli/soak.py
@@ -13,7 +13,7 @@
 from rich.table import Table
 
 from softswitch.cli import bad
-from softswitch.standin.soak.plan import draw
+from softswitch.standin.soak.plan import generate_plan
 from softswitch.standin.soak.run import Soak
 
 GRACE = 90.0  # s beyond its length that a soak may take to start and to end
@@ -41,7 +41,7 @@
     """Plays soaks. Exit 0 only if no rule was broken."""
     _check_plant(plant)
     if seeds == 1:
-        reports = [orjson.loads(orjson.dumps(Soak(draw(seed, seconds), plant).play().report()))]
+        reports = [orjson.loads(orjson.dumps(Soak(generate_plan(seed, seconds), plant).run().report()))]
     else:
         with ThreadPoolExecutor(jobs) as pool:
             reports = list(pool.map(lambda n: _play_apart(n, seconds, plant), range(seed, seed + seeds)))
@@ -58,10 +58,10 @@
 def _check_plant(plant: str) -> None:
     if not plant:
         return
-    from softswitch.standin.soak.planted import PLANTS  # loads the program
+    from softswitch.standin.soak.planted import FAULTS  # loads the program
 
-    if plant not in PLANTS:
-        bad(f"--plant {plant}: one of {', '.join(PLANTS)}")
+    if plant not in FAULTS:
+        bad(f"--plant {plant}: one of {', '.join(FAULTS)}")
 
 
 def _play_apart(seed: int, seconds: float, plant: str) -> Report:
--- a/softswitch/standin/soak/plan.py
+++ b/softswitch/standin/soak/plan.py
@@ -192,7 +192,7 @@
         return asdict(self)
 
 
-def draw(seed: int, seconds: float) -> Plan:
+def generate_plan(seed: int, seconds: float) -> Plan:
     """The plan of this seed."""
     rng = Random(f"soak {seed}")
     softswitches, engines = rng.randint(1, 3), rng.randint(2, 4)
--- a/softswitch/standin/soak/planted.py
+++ b/softswitch/standin/soak/planted.py
@@ -34,12 +34,12 @@
 EXIT_CODE = 3
 
 Plant = Callable[[], None]
-PLANTS: dict[str, Plant] = {}
+FAULTS: dict[str, Plant] = {}
 
 
 def plant(function: Plant) -> Plant:
     """Adds a planted fault under the function's name."""
-    PLANTS[function.__name__.replace("_", "-")] = function
+    FAULTS[function.__name__.replace("_", "-")] = function
     return function
 
 
@@ -280,9 +280,9 @@
 
 def main(name: str) -> None:
     """Plants the fault and becomes the program."""
-    if name not in PLANTS:
-        raise SystemExit(f"no such planted fault: {name}; one of {', '.join(PLANTS)}")
-    PLANTS[name]()
+    if name not in FAULTS:
+        raise SystemExit(f"no such planted fault: {name}; one of {', '.join(FAULTS)}")
+    FAULTS[name]()
     sys.argv = ["softswitch"]
     runpy.run_module("softswitch", run_name="__main__")
 
--- a/softswitch/standin/soak/run.py
+++ b/softswitch/standin/soak/run.py
@@ -354,7 +354,7 @@
         self.reactor.connectTCP(*process.mgmt, query, timeout=1.0)
         return answer
 
-    def play(self) -> Outcome:
+    def run(self) -> Outcome:
         """Blocks until the soak is over and all that was started has ended."""
         self.reactor.callWhenRunning(self._begin)
         try:
@@ -414,9 +414,9 @@
         for crowd in self.plan.crowds:
             self.reactor.callLater(crowd.at, self._gather, crowd)
 
-    def _start_at(self, at: float, play: Any, what: Any) -> None:
+    def _start_at(self, at: float, action: Any, what: Any) -> None:
         def begin() -> None:
-            ensureDeferred(play(what)).addErrback(self._failed)
+            ensureDeferred(action(what)).addErrback(self._failed)
 
         self.reactor.callLater(at, begin)
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -19,7 +19,7 @@
     Rule,
     SetupFields,
 )
-from softswitch.standin.soak.plan import EngineFault, Signals, draw
+from softswitch.standin.soak.plan import EngineFault, Signals, generate_plan
 from softswitch.standin.soak.surroundings import BINDING_AFTER, TOLD_AFTER
 
 CALL, A, B = "00000000000000aa", "s-00000001", "s-00000002"
@@ -315,8 +315,8 @@
 
 
 def test_the_same_seed_draws_the_same_plan_and_seeds_reach_all_kinds():
-    plans = [draw(seed, SECONDS) for seed in range(60)]
-    assert plans == [draw(seed, SECONDS) for seed in range(60)]
+    plans = [generate_plan(seed, SECONDS) for seed in range(60)]
+    assert plans == [generate_plan(seed, SECONDS) for seed in range(60)]
     assert {episode.signals for plan in plans for episode in plan.signals} == set(Signals)
     assert {fault.fault for plan in plans for fault in plan.faults} == set(EngineFault)
     assert {len(plan.crowds) for plan in plans} == {0, 1}
