--- a/softswitch/standin/board.py
+++ b/softswitch/standin/board.py
@@ -1,4 +1,4 @@
-"""A notice board: numbered events with the list of quote engines."""
+"""A stand-in watch server: sends softswitches the list of quote engines as numbered events."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 from softswitch.net.endpoint_watch import CHANGES, COMPLETE, ENDPOINT_RECORD, EVENT_HEADER, NO_CHANGE
 
-STATES = {"active": 0, "leaving": 1, "left": 2}
+STATE_CODES = {"active": 0, "leaving": 1, "left": 2}
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEngine:
-    """One engine as the board lists it."""
+    """An engine as the watch server lists it."""
 
     name: str  # `s-` and 8 hex digits
     address: tuple[str, int]
@@ -25,12 +25,12 @@
     share: float = 1.0
 
     def record(self) -> bytes:
-        """The entry as the wire has it."""
+        """Encodes the entry for the wire."""
         return ENDPOINT_RECORD.pack(
             int(self.name[2:], 16),
             bytes(map(int, self.address[0].split("."))),
             self.address[1],
-            STATES[self.health],
+            STATE_CODES[self.health],
             0,
             0,
             self.cell,
@@ -38,8 +38,8 @@
             self.born_ms,
         )
 
-    def host(self) -> dict[str, Any]:
-        """The same as the configuration's `known` has it."""
+    def as_host(self) -> dict[str, Any]:
+        """Returns the entry in the form of the configuration's `known` key."""
         return {
             "host": self.name,
             "dial": f"{self.address[0]}:{self.address[1]}",
@@ -52,89 +52,95 @@
         }
 
 
-class BoardSide(Protocol):
-    """One softswitch's connection."""
+class BoardConnection(Protocol):
+    """A connection from a softswitch."""
 
     def __init__(self, board: Board) -> None:
-        self.board, self.data, self.after = board, b"", -1
+        self.board, self.data, self.last_event = board, b"", -1
 
     def dataReceived(self, data: bytes) -> None:
-        """Called by Twisted: the number of the last event that the softswitch has."""
+        """Reads the number of the softswitch's last event and sends the later ones. Called by Twisted."""
         self.data += data
-        if self.after < 0 and len(self.data) >= 8:
-            self.after = int.from_bytes(self.data[:8], "big")
-            for number, kind, payload in self.board.events:
-                if number > self.after:
-                    self.send(number, kind, payload)
-            self.board.lines[self] = None
+        if self.last_event < 0 and len(self.data) >= 8:
+            self.last_event = int.from_bytes(self.data[:8], "big")
+            for event_number, event_type, payload in self.board.events:
+                if event_number > self.last_event:
+                    self.send(event_number, event_type, payload)
+            self.board.connections[self] = None
 
     def connectionLost(self, reason: object = None) -> None:
-        """Called by Twisted."""
-        self.board.lines.pop(self, None)
+        """Removes the connection. Called by Twisted."""
+        self.board.connections.pop(self, None)
 
-    def send(self, number: int, kind: int, payload: bytes = b"") -> None:
+    def send(self, event_number: int, event_type: int, payload: bytes = b"") -> None:
         """Sends one event."""
         self.transport.write(
-            pack(">I", EVENT_HEADER.size + len(payload)) + EVENT_HEADER.pack(number, kind) + payload
+            pack(">I", EVENT_HEADER.size + len(payload))
+            + EVENT_HEADER.pack(event_number, event_type)
+            + payload
         )
 
 
 class Board(Factory):
-    """The board. Keeps its newest 1,000 events; whoever asks for older ones gets the whole list first."""
+    """The watch server.
+
+    After 1,000 events it replaces its history by one event with the complete list, so a softswitch that is
+    further behind receives the complete list first.
+    """
 
     noisy = False
 
     def __init__(self, reactor: Any, listed: list[ListedEngine]) -> None:
         self.reactor = reactor
-        self.listed = {one.name: one for one in listed}
-        self.number = 1
-        self.events: list[tuple[int, int, bytes]] = [(1, COMPLETE, self._all())]
-        self.lines: dict[BoardSide, None] = {}
+        self.listed = {entry.name: entry for entry in listed}
+        self.event_number = 1
+        self.events: list[tuple[int, int, bytes]] = [(1, COMPLETE, self._complete_list())]
+        self.connections: dict[BoardConnection, None] = {}
         self.port: Any = None
-        self.beat: Any = None
+        self.heartbeat_timer: Any = None
 
-    def _all(self) -> bytes:
-        return b"".join(one.record() for one in self.listed.values())
+    def _complete_list(self) -> bytes:
+        return b"".join(entry.record() for entry in self.listed.values())
 
-    def buildProtocol(self, addr: object) -> BoardSide:
-        """Called by Twisted."""
-        return BoardSide(self)
+    def buildProtocol(self, addr: object) -> BoardConnection:
+        """Called by Twisted for each connection."""
+        return BoardConnection(self)
 
     def listen(self, host: str = "127.0.0.1", port: int = 0) -> tuple[str, int]:
-        """Listens, and keeps the connections alive from now on."""
+        """Listens and sends periodic heartbeats from now on."""
         self.port = self.reactor.listenTCP(port, self, interface=host)
-        self._beat()
+        self._send_heartbeat()
         return host, self.port.getHost().port
 
-    def _beat(self) -> None:
-        self.beat = self.reactor.callLater(1.0, self._beat)
-        for line in self.lines:
-            line.send(self.number, NO_CHANGE)
+    def _send_heartbeat(self) -> None:
+        self.heartbeat_timer = self.reactor.callLater(1.0, self._send_heartbeat)
+        for connection in self.connections:
+            connection.send(self.event_number, NO_CHANGE)
 
     def stop(self) -> None:
-        """Closes everything."""
-        self.beat.cancel()
+        """Closes the listener and all connections."""
+        self.heartbeat_timer.cancel()
         self.port.stopListening()
-        for line in list(self.lines):
-            line.transport.abortConnection()
+        for connection in list(self.connections):
+            connection.transport.abortConnection()
 
     def change(self, *changed: ListedEngine) -> None:
-        """Tells everybody of these entries, new or changed."""
-        self.number += 1
-        self.listed |= {one.name: one for one in changed}
-        self.events.append((self.number, CHANGES, b"".join(one.record() for one in changed)))
+        """Sends these entries, new or changed, to all connected softswitches."""
+        self.event_number += 1
+        self.listed |= {entry.name: entry for entry in changed}
+        self.events.append((self.event_number, CHANGES, b"".join(entry.record() for entry in changed)))
         if len(self.events) > 1_000:
-            self.events = [(self.number, COMPLETE, self._all())]
-        for line in self.lines:
-            line.send(*self.events[-1])
-        for one in changed:
-            if one.health == "left":
-                del self.listed[one.name]
+            self.events = [(self.event_number, COMPLETE, self._complete_list())]
+        for connection in self.connections:
+            connection.send(*self.events[-1])
+        for entry in changed:
+            if entry.health == "left":
+                del self.listed[entry.name]
 
     def known(self) -> dict[str, Any]:
-        """The events of the start, for a configuration."""
-        hosts = [one.host() for one in self.listed.values()]
+        """Returns the initial event list for a softswitch's configuration."""
+        hosts = [entry.as_host() for entry in self.listed.values()]
         return {
-            "rev": self.number,
-            "notices": [{"rev": self.number, "pool": {"seq": 1, "whole": True, "hosts": hosts}}],
+            "rev": self.event_number,
+            "notices": [{"rev": self.event_number, "pool": {"seq": 1, "whole": True, "hosts": hosts}}],
         }
--- a/softswitch/standin/engine.py
+++ b/softswitch/standin/engine.py
@@ -1,8 +1,8 @@
-"""A quote engine with a stated number of circuits and a processor of one line.
+"""A stand-in quote engine with a configured number of circuits and a single-server processor queue.
 
-Work is done in turn: new set-ups first, then answers, refusals and releases, as at a pressed processor.
-A call takes its circuits when its set-up is looked at, and holds them until it ends. Times are seconds in the
-settings and in the code, but for what the wire counts in milliseconds.
+The processor does one piece of work at a time: call setups first, then answers, rejections and releases, as
+an overloaded processor does. A call seizes its circuits when the processor handles its setup, and holds them
+until it ends. Times are in seconds, except those that the wire protocol counts in milliseconds.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     encode_message,
 )
 
-ACCEPTED = frozenset(
+ACCEPTED_TYPES = frozenset(
     {
         MessageType.SETUP,
         MessageType.PROGRESS,
@@ -36,58 +36,61 @@
         MessageType.PROBE,
     }
 )
-NORMAL, ERROR, NO_CIRCUIT, CUT = 16, 47, 34, 41
+NORMAL, ERROR, NO_CIRCUIT, CUT = 16, 47, 34, 41  # Q.850 causes of a release
 
 
 @dataclass(frozen=True, slots=True)
 class EngineSettings:
-    """What one engine is and can do."""
+    """Name, capacity and processing times of one engine."""
 
     name: str  # `s-` and 8 hex digits
     cell: int
     circuits: int = 1000
-    widths: dict[str, int] = field(default_factory=dict)  # circuits a call takes, by class; else 1
-    hold: dict[str, float] = field(default_factory=dict)  # mean seconds that a call stands, by class; else 8
-    hold_kind: str = "exponential"  # or "constant"
-    work: float = 0.0  # seconds that a set-up takes the processor
-    answer_work: float = 0.25  # of a set-up's: an answer
-    release_work: float = 0.15  # a release
-    refuse_work: float = 0.2  # a refusal
-    longest_wait: float = 2.5  # seconds of the processor's queue over which set-ups are refused
-    state_every: float = 0.5  # seconds between two states told unasked
-    reserve: int = 0  # circuits kept for calls whose number begins with `own`
+    widths: dict[str, int] = field(default_factory=dict)  # circuits per call, by class; default 1
+    hold: dict[str, float] = field(default_factory=dict)  # mean holding time in s, by class; default 8
+    hold_distribution: str = "exponential"  # or "constant"
+    work: float = 0.0  # processor time of a setup, in s
+    answer_work: float = 0.25  # processor time of an answer, as a fraction of `work`
+    release_work: float = 0.15  # the same for a release
+    reject_work: float = 0.2  # the same for a rejection
+    max_queue: float = 2.5  # s of queued work above which setups are rejected
+    state_interval: float = 0.5  # s between two unsolicited load reports
+    reserve: int = 0  # circuits reserved for calls whose number starts with `reserve_prefix`
     reserve_prefix: str = ""
-    # A started engine is cold for so long; it bears `cold_from` of `bears` set-ups a second at first, then
-    # more. More than `overload_factor` times what it bears then, within `overload_for`, push it over.
-    warm_capacity: float = 0.0  # 0: it is warm at once
+    # A started engine warms up for `warm_up` s. Its capacity, in setups per s, grows meanwhile from
+    # `initial_capacity` * `warm_capacity` to `warm_capacity`. It crashes if it receives more than
+    # `overload_factor` times its present capacity within `overload_window` s.
+    warm_capacity: float = 0.0  # 0: no warm-up
     warm_up: float = 6.0
     initial_capacity: float = 0.3
     overload_factor: float = 3.0
     overload_window: float = 1.0
-    restart_delay: float = 2.0  # seconds after a fall until it is started again
+    restart_delay: float = 2.0  # s from a crash to the restart
 
     def __post_init__(self) -> None:
         if self.circuits < 1 or self.reserve < 0 or self.reserve >= self.circuits:
-            raise ValueError(f"engine {self.name}: at least one circuit, and a reserve smaller than that")
-        if self.hold_kind not in ("exponential", "constant"):
-            raise ValueError(f"engine {self.name}: hold_kind is exponential or constant")
-        if min(self.work, self.longest_wait, self.state_every, *self.hold.values(), 0.0) < 0:
-            raise ValueError(f"engine {self.name}: times are 0 or more")
+            raise ValueError(
+                f"engine {self.name}: circuits must be at least 1, and reserve smaller than circuits"
+            )
+        if self.hold_distribution not in ("exponential", "constant"):
+            raise ValueError(f"engine {self.name}: hold_distribution must be exponential or constant")
+        if min(self.work, self.max_queue, self.state_interval, *self.hold.values(), 0.0) < 0:
+            raise ValueError(f"engine {self.name}: times must be 0 or more")
 
 
 @dataclass(slots=True)
-class Standing:
-    """A call that this engine has: its circuits, where it came from, and its end."""
+class EngineCall:
+    """A call that holds circuits of this engine."""
 
-    line: EngineSide
+    connection: EngineConnection
     width: int
-    klass: str
+    klass: str  # the call class
     answered: bool = False
-    end: Any = None  # the timer that ends it
+    end_timer: Any = None  # timer of the holding time
 
 
-class EngineSide(Int16StringReceiver):
-    """One connection from a softswitch."""
+class EngineConnection(Int16StringReceiver):
+    """A connection from a softswitch."""
 
     MAX_LENGTH = MAX_MESSAGE
 
@@ -95,32 +98,36 @@
         self.engine = engine
 
     def connectionMade(self) -> None:
-        """Called by Twisted."""
+        """Registers the connection. Called by Twisted."""
         self.transport.setTcpNoDelay(True)
-        self.engine.opened(self)
+        self.engine.connection_opened(self)
 
     def connectionLost(self, reason: object = None) -> None:
-        """Called by Twisted."""
-        self.engine.closed(self)
+        """Removes the connection. Called by Twisted."""
+        self.engine.connection_closed(self)
 
     def stringReceived(self, data: bytes) -> None:
-        """Called by Twisted: a message is complete."""
+        """Decodes a complete message. Called by Twisted."""
         try:
-            message = decode_message(data, ACCEPTED)
+            message = decode_message(data, ACCEPTED_TYPES)
         except ValueError as e:
             self.engine.count[f"unreadable: {e}"] += 1
             self.transport.loseConnection()
             return
         self.engine.message_received(self, message.type, message.call, message.parameters)
 
-    def send(self, kind: int, call: str, *parameters: tuple[int, bytes]) -> None:
-        """Sends one message, unless the connection is over."""
+    def send(self, message_type: int, call: str, *parameters: tuple[int, bytes]) -> None:
+        """Sends one message, unless the connection is closed."""
         if self.transport.connected:
-            self.sendString(encode_message(kind, call, *parameters))
+            self.sendString(encode_message(message_type, call, *parameters))
 
 
 class Engine(Factory):
-    """One engine. `reactor` gives time and timers; `watch` is told ("set-up", "stands", "over", call)."""
+    """One engine.
+
+    `reactor` provides the clock, timers and sockets. `observer` is called with "set-up", "stands" or
+    "over" and the call's id.
+    """
 
     noisy = False
 
@@ -129,279 +136,311 @@
         reactor: Any,
         settings: EngineSettings,
         seed: int,
-        watch: Callable[[str, str], None] | None = None,
+        observer: Callable[[str, str], None] | None = None,
     ) -> None:
         self.reactor, self.settings, self.random = reactor, settings, Random(seed)
-        self.watch = watch or (lambda what, call: None)
-        self.on_setup: Callable[[str, str], None] | None = (
-            None  # told (call, class) of each set-up as it comes
-        )
-        self.lines: dict[EngineSide, None] = {}
-        self.calls: dict[str, Standing] = {}
-        self.unsaid: dict[str, bytes] = {}  # releases with no connection to go out on; at most 4,096
+        self.observer = observer or (lambda event, call: None)
+        # Called with the call's id and class for each setup received.
+        self.on_setup: Callable[[str, str], None] | None = None
+        self.connections: dict[EngineConnection, None] = {}
+        self.calls: dict[str, EngineCall] = {}
+        self.unsent_releases: dict[
+            str, bytes
+        ] = {}  # call -> cause, while no connection is open; at most 4,096
         self.used = 0
         self.count: Counter[str] = Counter()
-        self.integral, self.since = 0.0, reactor.seconds()  # circuit-seconds in use
-        self.new: deque[tuple[float, Callable[[], None]]] = deque()
-        self.rest: deque[tuple[float, Callable[[], None]]] = deque()
-        self.queued_work, self.working = 0.0, False  # seconds of work that wait
-        self.slow = 1.0  # times as slow as it is
+        self.circuit_seconds, self.used_changed_at = 0.0, reactor.seconds()  # integral of `used`
+        self.setup_queue: deque[tuple[float, Callable[[], None]]] = deque()
+        self.other_queue: deque[tuple[float, Callable[[], None]]] = deque()
+        self.queued_work, self.busy = 0.0, False  # s of work in both queues
+        self.slowdown = 1.0  # factor on all processing times
         self.port: Any = None
         self.address: tuple[str, int] | None = None
-        self.born: float | None = None  # when it was started, where it began cold
+        self.started_at: float | None = (
+            None  # time of the last restart; None: the engine is warm from the start
+        )
         self.on_started: Callable[[Engine], None] | None = None
-        self.lately: deque[float] = deque()  # set-ups of the last `overload_for`, while it is cold
-        self.beat: Any = None
-        self.waiting: dict[str, EngineSide] = {}  # set-ups in the processor's queue
+        self.recent_setups: deque[float] = deque()  # times in the last `overload_window`, while warming up
+        self.state_timer: Any = None
+        self.queued_setups: dict[str, EngineConnection] = {}  # by call
 
     def listen(self, host: str = "127.0.0.1", port: int = 0) -> tuple[str, int]:
-        """Listens, and tells its state from now on."""
+        """Listens and sends periodic load reports from now on."""
         self.port = self.reactor.listenTCP(port, self, interface=host, backlog=64)
-        self._state()
+        self._send_state()
         self.address = host, self.port.getHost().port
         return self.address
 
     def restart(self) -> None:
-        """A new process at the same address, cold."""
+        """Simulates a new process at the same address, which has to warm up."""
         if self.port is not None:
             self.stop()
-        self.born = self.reactor.seconds()
-        self.lately.clear()
-        self._again()
+        self.started_at = self.reactor.seconds()
+        self.recent_setups.clear()
+        self._listen_again()
 
-    def _again(self) -> None:
+    def _listen_again(self) -> None:
         assert self.address is not None
         try:
             self.listen(*self.address)
-        except CannotListenError:  # the socket of before is closed at the end of this turn of the reactor
-            self.reactor.callLater(0.01, self._again)
+        except CannotListenError:  # the old socket closes at the end of this reactor iteration
+            self.reactor.callLater(0.01, self._listen_again)
             return
         if self.on_started is not None:
             self.on_started(self)
 
     def capacity_fraction(self) -> float:
-        """The share of what it bears when warm that it bears now."""
-        age = self.reactor.seconds() - self.born if self.born is not None else self.settings.warm_up
+        """Returns the present capacity as a fraction of `warm_capacity`."""
+        age = (
+            self.reactor.seconds() - self.started_at if self.started_at is not None else self.settings.warm_up
+        )
         if not self.settings.warm_capacity or age >= self.settings.warm_up:
             return 1.0
         return float(self.settings.initial_capacity ** (1 - age / self.settings.warm_up))
 
-    def _falls(self) -> bool:
-        """Whether this set-up is the one too many for a cold engine."""
+    def _is_overloading(self) -> bool:
+        """Records a setup; returns whether it overloads the engine, which is still warming up."""
         now, fraction = self.reactor.seconds(), self.capacity_fraction()
         if fraction >= 1.0:
             return False
-        self.lately.append(now)
-        while self.lately[0] <= now - self.settings.overload_window:
-            self.lately.popleft()
-        bears = (
+        self.recent_setups.append(now)
+        while self.recent_setups[0] <= now - self.settings.overload_window:
+            self.recent_setups.popleft()
+        limit = (
             self.settings.overload_factor
             * self.settings.warm_capacity
             * fraction
             * self.settings.overload_window
         )
         self.count["most of what a cold engine bears, %"] = max(
-            self.count["most of what a cold engine bears, %"], round(100 * len(self.lately) / bears)
+            self.count["most of what a cold engine bears, %"], round(100 * len(self.recent_setups) / limit)
         )
-        # What comes by itself varies by the root of its number; only what lies beyond that pushes it over.
-        return len(self.lately) > bears + 3 * sqrt(bears) + 3
+        # The number of random arrivals varies by its square root; only an excess beyond that is overload.
+        return len(self.recent_setups) > limit + 3 * sqrt(limit) + 3
 
-    def _fall(self) -> None:
+    def _crash(self) -> None:
         self.count["fell"] += 1
         self.stop()
         self.reactor.callLater(self.settings.restart_delay, self.restart)
 
     def stop(self) -> None:
-        """A crash: connections are reset, calls are gone."""
+        """Simulates a crash: resets all connections and drops all calls."""
         if self.port is None:
             return
-        for timer in (self.beat, *(c.end for c in self.calls.values())):
+        for timer in (self.state_timer, *(c.end_timer for c in self.calls.values())):
             if timer is not None and timer.active():
                 timer.cancel()
         self.port.stopListening()
         self.port = None
-        for line in list(self.lines):
-            line.transport.abortConnection()
-        self._use(-self.used)
+        for connection in list(self.connections):
+            connection.transport.abortConnection()
+        self._change_used(-self.used)
         self.calls.clear()
-        self.waiting.clear()
+        self.queued_setups.clear()
 
-    def buildProtocol(self, addr: object) -> EngineSide:
-        """Called by Twisted."""
-        return EngineSide(self)
+    def buildProtocol(self, addr: object) -> EngineConnection:
+        """Called by Twisted for each connection."""
+        return EngineConnection(self)
 
-    # circuits and processor
+    # Circuits and processor
 
     @property
-    def free(self) -> int:
-        """Circuits that no call has."""
+    def available_circuits(self) -> int:
+        """Circuits not held by a call."""
         return self.settings.circuits - self.used
 
-    def _use(self, circuits: int) -> None:
+    def _change_used(self, circuits: int) -> None:
         now = self.reactor.seconds()
-        self.integral += self.used * (now - self.since)
-        self.since, self.used = now, self.used + circuits
+        self.circuit_seconds += self.used * (now - self.used_changed_at)
+        self.used_changed_at, self.used = now, self.used + circuits
+
+    def _enqueue(self, fraction: float, work: Callable[[], None], is_setup: bool = False) -> None:
+        """Queues a piece of work that takes `fraction` of a setup's processor time.
 
-    def _work(self, share: float, what: Callable[[], None], new: bool = False) -> None:
-        """Queues a piece of work, in shares of a set-up's. With a processor that costs nothing, it is
-        done.
+        Work that takes no time is done at once if the processor is idle.
         """
-        cost = share * self.settings.work * self.slow / self.capacity_fraction()
-        if cost <= 0 and not self.working:
-            what()
+        cost = fraction * self.settings.work * self.slowdown / self.capacity_fraction()
+        if cost <= 0 and not self.busy:
+            work()
             return
-        (self.new if new else self.rest).append((cost, what))
+        (self.setup_queue if is_setup else self.other_queue).append((cost, work))
         self.queued_work += cost
-        if not self.working:
-            self._next()
+        if not self.busy:
+            self._start_next()
 
-    def _next(self) -> None:
-        queue = self.new or self.rest
+    def _start_next(self) -> None:
+        queue = self.setup_queue or self.other_queue
         if not queue:
-            self.working, self.queued_work = False, 0.0
+            self.busy, self.queued_work = False, 0.0
             return
-        self.working = True
-        cost, what = queue.popleft()
-        self.reactor.callLater(cost, self._done, cost, what)
+        self.busy = True
+        cost, work = queue.popleft()
+        self.reactor.callLater(cost, self._work_done, cost, work)
 
-    def _done(self, cost: float, what: Callable[[], None]) -> None:
+    def _work_done(self, cost: float, work: Callable[[], None]) -> None:
         self.queued_work = max(0.0, self.queued_work - cost)
-        what()
-        self._next()
-
-    # the wire
-
-    def report(self) -> bytes:
-        """The load report."""
-        each = self.settings.work * self.slow * (1 + self.settings.answer_work + self.settings.release_work)
-        left = max(0.0, 1 - self.queued_work / max(self.settings.longest_wait, 1e-9))
-        return b"x0:%d;x1:%d;qps:%.1f" % (self.free, self.settings.circuits, left / each if each else 10_000)
-
-    def _state(self) -> None:
-        self.beat = self.reactor.callLater(self.settings.state_every, self._state)
-        for line in self.lines:
-            line.send(MessageType.STATE, NO_CALL, (Parameter.REPORT, self.report()))
-
-    def opened(self, line: EngineSide) -> None:
-        """A connection is up: it hears the state first, then releases that had none to go out on."""
-        self.lines[line] = None
-        line.send(MessageType.STATE, NO_CALL, (Parameter.REPORT, self.report()))
-        unsaid, self.unsaid = self.unsaid, {}
-        for call, said in unsaid.items():
-            line.send(MessageType.RELEASE, call, (Parameter.CAUSE, said), (Parameter.REPORT, self.report()))
-
-    def closed(self, line: EngineSide) -> None:
-        """Set-ups open there are given up; calls that stand go on."""
-        self.lines.pop(line, None)
-        for call in [c for c, at in self.waiting.items() if at is line]:
-            del self.waiting[call]
-        for call in [c for c, s in self.calls.items() if s.line is line and not s.answered]:
-            self._forget(call)
-
-    def message_received(self, line: EngineSide, kind: int, call: str, said: dict[int, bytes]) -> None:
-        """A message came from a softswitch."""
-        if kind == MessageType.SETUP:
+        work()
+        self._start_next()
+
+    # Wire protocol
+
+    def load_report(self) -> bytes:
+        """Encodes the load report: available and total circuits, and the setups per s it can accept."""
+        seconds_per_call = (
+            self.settings.work * self.slowdown * (1 + self.settings.answer_work + self.settings.release_work)
+        )
+        remaining = max(0.0, 1 - self.queued_work / max(self.settings.max_queue, 1e-9))
+        return b"x0:%d;x1:%d;qps:%.1f" % (
+            self.available_circuits,
+            self.settings.circuits,
+            remaining / seconds_per_call if seconds_per_call else 10_000,
+        )
+
+    def _send_state(self) -> None:
+        self.state_timer = self.reactor.callLater(self.settings.state_interval, self._send_state)
+        for connection in self.connections:
+            connection.send(MessageType.STATE, NO_CALL, (Parameter.REPORT, self.load_report()))
+
+    def connection_opened(self, connection: EngineConnection) -> None:
+        """Sends the load report first, then the releases that had no open connection."""
+        self.connections[connection] = None
+        connection.send(MessageType.STATE, NO_CALL, (Parameter.REPORT, self.load_report()))
+        unsent, self.unsent_releases = self.unsent_releases, {}
+        for call, cause in unsent.items():
+            connection.send(
+                MessageType.RELEASE, call, (Parameter.CAUSE, cause), (Parameter.REPORT, self.load_report())
+            )
+
+    def connection_closed(self, connection: EngineConnection) -> None:
+        """Drops the connection's pending setups. Established calls continue."""
+        self.connections.pop(connection, None)
+        for call in [c for c, at in self.queued_setups.items() if at is connection]:
+            del self.queued_setups[call]
+        for call in [c for c, s in self.calls.items() if s.connection is connection and not s.answered]:
+            self._remove_call(call)
+
+    def message_received(
+        self, connection: EngineConnection, message_type: int, call: str, parameters: dict[int, bytes]
+    ) -> None:
+        """Handles a message from a softswitch."""
+        if message_type == MessageType.SETUP:
             self.count["set-ups"] += 1
-            self.watch("set-up", call)
+            self.observer("set-up", call)
             if self.on_setup is not None:
-                self.on_setup(call, said.get(Parameter.CALL_CLASS, b"").decode("latin-1"))
-            if self._falls():
-                return self._fall()
-            if self.queued_work > self.settings.longest_wait:
+                self.on_setup(call, parameters.get(Parameter.CALL_CLASS, b"").decode("latin-1"))
+            if self._is_overloading():
+                return self._crash()
+            if self.queued_work > self.settings.max_queue:
                 self.count["refused: processor"] += 1
-                self._work(
-                    self.settings.refuse_work, lambda: self._refuse(line, call, NO_CIRCUIT, b"cpu_full")
+                self._enqueue(
+                    self.settings.reject_work, lambda: self._reject(connection, call, NO_CIRCUIT, b"cpu_full")
                 )
             else:
-                self.waiting[call] = line
-                self._work(1.0, lambda: self._look(line, call, said), new=True)
-        elif kind == MessageType.RELEASE:
-            self.waiting.pop(call, None)
+                self.queued_setups[call] = connection
+                self._enqueue(1.0, lambda: self._process_setup(connection, call, parameters), is_setup=True)
+        elif message_type == MessageType.RELEASE:
+            self.queued_setups.pop(call, None)
             if call in self.calls:
                 self.count["released by softswitches"] += 1
-                self._forget(call)
-                self._work(self.settings.release_work, lambda: line.send(MessageType.ACKNOWLEDGE, call))
-        elif kind == MessageType.PROBE:
-            line.send(
-                MessageType.PROBE_ANSWER, call, (Parameter.CAUSE, b"\1"), (Parameter.REPORT, self.report())
+                self._remove_call(call)
+                self._enqueue(
+                    self.settings.release_work, lambda: connection.send(MessageType.ACKNOWLEDGE, call)
+                )
+        elif message_type == MessageType.PROBE:
+            connection.send(
+                MessageType.PROBE_ANSWER,
+                call,
+                (Parameter.CAUSE, b"\1"),
+                (Parameter.REPORT, self.load_report()),
             )
         return None
 
-    def _look(self, line: EngineSide, call: str, said: dict[int, bytes]) -> None:
-        if self.waiting.pop(call, None) is None:
+    def _process_setup(self, connection: EngineConnection, call: str, parameters: dict[int, bytes]) -> None:
+        if self.queued_setups.pop(call, None) is None:
             self.count["given up"] += 1
             return
-        klass = said.get(Parameter.CALL_CLASS, b"").decode("latin-1")
-        width, number = self.settings.widths.get(klass, 1), said.get(Parameter.NUMBER, b"").decode("latin-1")
-        kept = self.settings.reserve if not number.startswith(self.settings.reserve_prefix) else 0
-        if self.free < width + kept:
+        call_class = parameters.get(Parameter.CALL_CLASS, b"").decode("latin-1")
+        width, number = (
+            self.settings.widths.get(call_class, 1),
+            parameters.get(Parameter.NUMBER, b"").decode("latin-1"),
+        )
+        reserved = self.settings.reserve if not number.startswith(self.settings.reserve_prefix) else 0
+        if self.available_circuits < width + reserved:
             self.count["refused: circuits"] += 1
-            self._work(
-                self.settings.refuse_work, lambda: self._refuse(line, call, NO_CIRCUIT, b"all_trunks_busy")
+            self._enqueue(
+                self.settings.reject_work,
+                lambda: self._reject(connection, call, NO_CIRCUIT, b"all_trunks_busy"),
             )
             return
-        self._use(width)
-        self.calls[call] = Standing(line, width, klass)
-        self._work(
-            self.settings.answer_work, lambda: self._answer(call, said.get(Parameter.DESCRIPTION, b""))
+        self._change_used(width)
+        self.calls[call] = EngineCall(connection, width, call_class)
+        self._enqueue(
+            self.settings.answer_work, lambda: self._answer(call, parameters.get(Parameter.DESCRIPTION, b""))
         )
 
-    def _refuse(self, line: EngineSide, call: str, cause: int, note: bytes) -> None:
-        line.send(
+    def _reject(self, connection: EngineConnection, call: str, cause: int, note: bytes) -> None:
+        connection.send(
             MessageType.RELEASE,
             call,
             (Parameter.CAUSE, bytes((cause,))),
             (Parameter.NOTE, note),
-            (Parameter.REPORT, self.report()),
+            (Parameter.REPORT, self.load_report()),
         )
 
     def _answer(self, call: str, description: bytes) -> None:
-        standing = self.calls.get(call)
-        if standing is None:
-            return  # given up while its answer waited for the processor
-        standing.answered = True
+        engine_call = self.calls.get(call)
+        if engine_call is None:
+            return  # released while its answer was queued
+        engine_call.answered = True
         self.count["stood"] += 1
-        self.watch("stands", call)
-        mean = self.settings.hold.get(standing.klass, 8.0)
-        held = self.random.expovariate(1 / mean) if self.settings.hold_kind == "exponential" else mean
-        standing.line.send(
+        self.observer("stands", call)
+        mean = self.settings.hold.get(engine_call.klass, 8.0)
+        holding_time = (
+            self.random.expovariate(1 / mean) if self.settings.hold_distribution == "exponential" else mean
+        )
+        engine_call.connection.send(
             MessageType.ANSWER,
             call,
             (Parameter.DESCRIPTION, b"engine " + self.settings.name.encode() + b"\r\n" + description),
         )
-        standing.end = self.reactor.callLater(held, self._ends, call)
+        engine_call.end_timer = self.reactor.callLater(holding_time, self._end_call, call)
 
-    def _ends(self, call: str) -> None:
-        standing = self.calls.get(call)
-        if standing is not None:
+    def _end_call(self, call: str) -> None:
+        engine_call = self.calls.get(call)
+        if engine_call is not None:
             self.count["ended"] += 1
-            self._forget(call)
-            self._work(self.settings.release_work, lambda: self._tell_end(standing.line, call, NORMAL))
-
-    def _tell_end(self, line: EngineSide, call: str, cause: int) -> None:
-        self.watch("over", call)
-        line = line if line in self.lines else next(iter(self.lines), line)
-        if line in self.lines:
-            line.send(
+            self._remove_call(call)
+            self._enqueue(
+                self.settings.release_work,
+                lambda: self._send_release(engine_call.connection, call, NORMAL),
+            )
+
+    def _send_release(self, connection: EngineConnection, call: str, cause: int) -> None:
+        self.observer("over", call)
+        connection = (
+            connection if connection in self.connections else next(iter(self.connections), connection)
+        )
+        if connection in self.connections:
+            connection.send(
                 MessageType.RELEASE,
                 call,
                 (Parameter.CAUSE, bytes((cause,))),
-                (Parameter.REPORT, self.report()),
+                (Parameter.REPORT, self.load_report()),
             )
-        elif len(self.unsaid) < 4_096:
-            self.unsaid[call] = bytes((cause,))
-
-    def cut(self, share: float) -> int:
-        """Cuts so many of the calls that stand, drawn at random; how many."""
-        gone = [c for c, s in self.calls.items() if s.answered and self.random.random() < share]
-        for call in gone:
-            line = self.calls[call].line
-            self._forget(call)
-            self._tell_end(line, call, CUT)
-        return len(gone)
-
-    def _forget(self, call: str) -> None:
-        standing = self.calls.pop(call)
-        self._use(-standing.width)
-        if standing.end is not None and standing.end.active():
-            standing.end.cancel()
+        elif len(self.unsent_releases) < 4_096:
+            self.unsent_releases[call] = bytes((cause,))
+
+    def cut(self, fraction: float) -> int:
+        """Cuts a random fraction of the established calls and returns their number."""
+        cut_calls = [c for c, s in self.calls.items() if s.answered and self.random.random() < fraction]
+        for call in cut_calls:
+            connection = self.calls[call].connection
+            self._remove_call(call)
+            self._send_release(connection, call, CUT)
+        return len(cut_calls)
+
+    def _remove_call(self, call: str) -> None:
+        engine_call = self.calls.pop(call)
+        self._change_used(-engine_call.width)
+        if engine_call.end_timer is not None and engine_call.end_timer.active():
+            engine_call.end_timer.cancel()
--- a/softswitch/standin/fleet.py
+++ b/softswitch/standin/fleet.py
@@ -273,8 +273,8 @@
             callers.tallies = {}
         now = self.reactor.seconds()
         for engine in self.engines:
-            engine._use(0)
-            self.carried_base.append(engine.integral)
+            engine._change_used(0)
+            self.carried_base.append(engine.circuit_seconds)
             self.counts_base.append(dict(engine.count))
         self.marks = [now]
 
@@ -299,8 +299,8 @@
             self.marks.append(self.reactor.seconds())
             self.loads = []
             for engine, base in zip(self.engines, self.carried_base, strict=True):
-                engine._use(0)
-                self.loads.append((engine.integral - base) / max(1e-9, self.marks[1] - self.marks[0]))
+                engine._change_used(0)
+                self.loads.append((engine.circuit_seconds - base) / max(1e-9, self.marks[1] - self.marks[0]))
         waited = self.reactor.seconds() - self.marks[1]
         if any(c.open for c in self.callers) and waited < self.day.answer_timeout * self.day.tries + 10:
             self.reactor.callLater(0.05, self._finish_when_idle)
--- a/softswitch/standin/soak/run.py
+++ b/softswitch/standin/soak/run.py
@@ -134,7 +134,7 @@
         number = self.n * plan.engines + k
         hold = {c.name: HOLD for c in plan.classes}
         settings = EngineSettings(
-            f"s-{number + 1:08x}", k, 500, hold=hold, work=SETUP_WORK, state_every=STATE_EVERY
+            f"s-{number + 1:08x}", k, 500, hold=hold, work=SETUP_WORK, state_interval=STATE_EVERY
         )
         seed = plan.seed * 7919 + number
         return SoakEngine(
--- a/softswitch/standin/soak/world.py
+++ b/softswitch/standin/soak/world.py
@@ -10,9 +10,9 @@
 from twisted.internet.protocol import Protocol
 
 from softswitch.net.engine_codec import MessageType, Parameter
-from softswitch.standin.board import Board, BoardSide, ListedEngine
+from softswitch.standin.board import Board, BoardConnection, ListedEngine
 from softswitch.standin.caller import CallerLine, Callers
-from softswitch.standin.engine import Engine, EngineSettings, EngineSide
+from softswitch.standin.engine import Engine, EngineConnection, EngineSettings
 from softswitch.standin.soak.checker import ANSWER_ALLOWANCE, Checker, SetupFields
 from softswitch.standin.soak.plan import AttemptFault, CallClassPlan, Pressure
 from softswitch.standin.soak.timeline import softswitch_of
@@ -59,8 +59,8 @@
         return LAG_EVERY + max(now_late, longest)
 
 
-def _port(line: EngineSide) -> int:
-    port: int = line.transport.getPeer().port
+def _port(connection: EngineConnection) -> int:
+    port: int = connection.transport.getPeer().port
     return port
 
 
@@ -84,7 +84,7 @@
         self.checker = checker
         self.lag = lag
         self.hung = False
-        self.attempts: dict[str, EngineSide] = {}  # that are out, by call
+        self.attempts: dict[str, EngineConnection] = {}  # that are out, by call
         self.written_releases: dict[str, int] = {}  # since a connection was opened last: call, cause
 
     def _attempt_over(
@@ -94,34 +94,38 @@
             now = self.reactor.seconds()
             self.checker.attempt_ended(now, call, self.settings.name, what, may_have_run, needs_quiet)
 
-    def message_received(self, line: EngineSide, kind: int, call: str, said: dict[int, bytes]) -> None:
+    def message_received(
+        self, connection: EngineConnection, message_type: int, call: str, parameters: dict[int, bytes]
+    ) -> None:
         """A message came; a hung engine does nothing with it."""
         now = self.reactor.seconds()
-        if kind == MessageType.SETUP:
-            self._setup_came(now, line, call, said)
-        elif kind == MessageType.RELEASE:
+        if message_type == MessageType.SETUP:
+            self._setup_came(now, connection, call, parameters)
+        elif message_type == MessageType.RELEASE:
             self._attempt_over(call, "withdrawn")
             self.checker.engine_told(now, call)
         if self.hung:
             return
-        if kind == MessageType.SETUP and self.draws.random() < self.pressure.faulty_attempts:
+        if message_type == MessageType.SETUP and self.draws.random() < self.pressure.faulty_attempts:
             faults, weights = zip(*self.pressure.attempt_faults, strict=True)
-            self._spoil(line, call, self.draws.choices(faults, weights)[0])
+            self._spoil(connection, call, self.draws.choices(faults, weights)[0])
         else:
-            super().message_received(line, kind, call, said)
+            super().message_received(connection, message_type, call, parameters)
 
-    def _setup_came(self, now: float, line: EngineSide, call: str, said: dict[int, bytes]) -> None:
+    def _setup_came(
+        self, now: float, connection: EngineConnection, call: str, parameters: dict[int, bytes]
+    ) -> None:
         lag = self.lag.lag
         self.checker.attempt(now, call, self.settings.name, lag)
-        self.attempts[call] = line
+        self.attempts[call] = connection
         call_class, number = (
-            said.get(p, b"").decode("latin-1") for p in (Parameter.CALL_CLASS, Parameter.NUMBER)
+            parameters.get(p, b"").decode("latin-1") for p in (Parameter.CALL_CLASS, Parameter.NUMBER)
         )
-        fields = SetupFields(call_class, number, said.get(Parameter.DESCRIPTION, b""))
-        time_left = float(said.get(Parameter.TIME_LEFT, b"0")) / 1000
+        fields = SetupFields(call_class, number, parameters.get(Parameter.DESCRIPTION, b""))
+        time_left = float(parameters.get(Parameter.TIME_LEFT, b"0")) / 1000
         self.checker.setup_read(now, call, fields, time_left, lag)
 
-    def _spoil(self, line: EngineSide, call: str, fault: AttemptFault) -> None:
+    def _spoil(self, connection: EngineConnection, call: str, fault: AttemptFault) -> None:
         """Answers an attempt with a fault, or never."""
         if fault is AttemptFault.SILENT:
             return
@@ -131,36 +135,36 @@
         parameters = [(Parameter.CAUSE, bytes((cause,))), (Parameter.NOTE, note)]
         if fault is AttemptFault.FULL:
             parameters.append((PROCESSOR_WAIT, b"%d" % self.draws.uniform(*FULL_FOR)))
-        line.send(MessageType.RELEASE, call, *parameters)
+        connection.send(MessageType.RELEASE, call, *parameters)
 
-    def opened(self, line: EngineSide) -> None:
+    def connection_opened(self, connection: EngineConnection) -> None:
         """A connection is up: releases that had none go out.
 
         Those that were written go out once more, as the protocol says: on the next connection as well.
         """
-        self._note(line, "connection opened")
-        for call in self.unsaid:
+        self._note(connection, "connection opened")
+        for call in self.unsent_releases:
             self.checker.engine_released(self.reactor.seconds(), call)
-        super().opened(line)
+        super().connection_opened(connection)
         again, self.written_releases = self.written_releases, {}
         for call, cause in again.items():
-            self._note_release(line, call, "release written once more")
-            line.send(MessageType.RELEASE, call, (Parameter.CAUSE, bytes((cause,))))
+            self._note_release(connection, call, "release written once more")
+            connection.send(MessageType.RELEASE, call, (Parameter.CAUSE, bytes((cause,))))
 
-    def closed(self, line: EngineSide) -> None:
+    def connection_closed(self, connection: EngineConnection) -> None:
         """A connection is over, and the attempts on it."""
-        self._note(line, "connection over")
-        for call in [call for call, at in self.attempts.items() if at is line]:
+        self._note(connection, "connection over")
+        for call in [call for call, at in self.attempts.items() if at is connection]:
             self._attempt_over(call, "connection over")
-        super().closed(line)
+        super().connection_closed(connection)
 
-    def _note(self, line: EngineSide, event: str) -> None:
+    def _note(self, connection: EngineConnection, event: str) -> None:
         """An event of a connection; its port tells it from the others."""
-        event = f"{self.settings.name} from {_port(line)}: {event}"
+        event = f"{self.settings.name} from {_port(connection)}: {event}"
         self.checker.timeline.note(self.reactor.seconds(), self.softswitch, event)
 
-    def _note_release(self, line: EngineSide, call: str, event: str) -> None:
-        self.checker.note(self.reactor.seconds(), call, f"{event} to {_port(line)}")
+    def _note_release(self, connection: EngineConnection, call: str, event: str) -> None:
+        self.checker.note(self.reactor.seconds(), call, f"{event} to {_port(connection)}")
 
     def stop(self) -> None:
         """A crash: its calls are gone."""
@@ -169,49 +173,49 @@
 
     def reset_connections(self) -> None:
         """Hangs up on everybody; the process goes on."""
-        for line in list(self.lines):
-            for call in [call for call, at in self.attempts.items() if at is line]:
+        for connection in list(self.connections):
+            for call in [call for call, at in self.attempts.items() if at is connection]:
                 self._attempt_over(call, "connection reset")
-            line.transport.abortConnection()
+            connection.transport.abortConnection()
 
-    def _state(self) -> None:
+    def _send_state(self) -> None:
         if self.hung:
-            self.beat = self.reactor.callLater(self.settings.state_every, self._state)
+            self.state_timer = self.reactor.callLater(self.settings.state_interval, self._send_state)
         else:
-            super()._state()
+            super()._send_state()
 
-    def _refuse(self, line: EngineSide, call: str, cause: int, note: bytes) -> None:
+    def _reject(self, connection: EngineConnection, call: str, cause: int, note: bytes) -> None:
         self._attempt_over(call, "refused", may_have_run=False)
-        super()._refuse(line, call, cause, note)
+        super()._reject(connection, call, cause, note)
 
     def _answer(self, call: str, description: bytes) -> None:
         if call in self.calls:
             self._attempt_over(call, "answered")
         super()._answer(call, description)
 
-    def _ends(self, call: str) -> None:
+    def _end_call(self, call: str) -> None:
         if self.hung and call in self.calls:
-            self.calls[call].end = self.reactor.callLater(HUNG_CALL_RETRY, self._ends, call)
+            self.calls[call].end_timer = self.reactor.callLater(HUNG_CALL_RETRY, self._end_call, call)
         else:
-            super()._ends(call)
+            super()._end_call(call)
 
-    def _tell_end(self, line: EngineSide, call: str, cause: int) -> None:
-        if self.lines:
+    def _send_release(self, connection: EngineConnection, call: str, cause: int) -> None:
+        if self.connections:
             self.checker.engine_released(self.reactor.seconds(), call)
             self.written_releases[call] = cause
-            written_on = line if line in self.lines else next(iter(self.lines))
+            written_on = connection if connection in self.connections else next(iter(self.connections))
             self._note_release(written_on, call, "release written")
-        super()._tell_end(line, call, cause)
+        super()._send_release(connection, call, cause)
 
 
-class SilentSide(BoardSide):
+class SilentBoardConnection(BoardConnection):
     """A softswitch's connection to a board that falls silent now and then."""
 
-    def send(self, number: int, kind: int, payload: bytes = b"") -> None:
+    def send(self, event_number: int, event_type: int, payload: bytes = b"") -> None:
         """Nothing is said while the board is silent."""
         assert isinstance(self.board, SoakBoard)
         if not self.board.silent:
-            super().send(number, kind, payload)
+            super().send(event_number, event_type, payload)
 
 
 class SoakBoard(Board):
@@ -219,22 +223,22 @@
 
     silent = False
 
-    def buildProtocol(self, addr: object) -> BoardSide:
+    def buildProtocol(self, addr: object) -> BoardConnection:
         """Called by Twisted."""
-        return SilentSide(self)
+        return SilentBoardConnection(self)
 
     def fall_silent(self) -> None:
         """Connections stay, and bring nothing."""
         self.silent = True
-        self._missed_from = self.number
+        self._missed_from = self.event_number
 
     def speak_again(self) -> None:
         """What was missed is told."""
         self.silent = False
-        for number, kind, payload in self.events:
-            if number > self._missed_from:
-                for line in self.lines:
-                    line.send(number, kind, payload)
+        for event_number, event_type, payload in self.events:
+            if event_number > self._missed_from:
+                for connection in self.connections:
+                    connection.send(event_number, event_type, payload)
 
     def change_health(self, engine: SoakEngine, health: str, born_ms: int = 0) -> None:
         """Tells everybody of an engine's health."""
