--- a/softswitch/standin/addresses.py
+++ b/softswitch/standin/addresses.py
@@ -1,8 +1,8 @@
-"""Loopback addresses of this process's own, for stand-ins and the programs that are started among them.
+"""Loopback addresses reserved for this process: for stand-ins and the programs started beside them.
 
-A port of 127.0.0.1 that is free now may be given a moment later to another process's listener or connection.
-A program that still dials the port of a stand-in that has closed then reaches a stranger's. At an address
-that no other process uses, neither can happen.
+A free port of 127.0.0.1 may be assigned to another process's listener or connection a moment later, and a
+program that still connects to the port of a closed stand-in then reaches that process. Neither can happen at
+an address that no other process uses.
 """
 
 from __future__ import annotations
@@ -10,20 +10,20 @@
 import os
 from itertools import count
 
-FIRST_BLOCK = 64  # of 127.64.0.0 and up
+FIRST_BLOCK = 64  # blocks are 127.64.0.0/24 and up
 BLOCKS = 128
 HOSTS_PER_BLOCK = 250
 
-_given = count()
+_next_index = count()
 
 
-def own_hosts(count_wanted: int) -> list[str]:
-    """So many addresses, different from those that other processes on this machine are given."""
+def own_hosts(number: int) -> list[str]:
+    """Returns this many addresses, different from those of other processes on this machine."""
     pid = os.getpid()
     block = f"127.{FIRST_BLOCK + pid % BLOCKS}.{(pid // BLOCKS) % 256}"
-    return [f"{block}.{1 + (next(_given) % HOSTS_PER_BLOCK)}" for _ in range(count_wanted)]
+    return [f"{block}.{1 + (next(_next_index) % HOSTS_PER_BLOCK)}" for _ in range(number)]
 
 
 def own_host() -> str:
-    """One such address."""
+    """Returns one such address."""
     return own_hosts(1)[0]
--- a/softswitch/standin/fleet.py
+++ b/softswitch/standin/fleet.py
@@ -1,7 +1,7 @@
-"""A small fleet on loopback for a bounded time: stand-in board and engines, real softswitches, callers.
+"""A small fleet on loopback for a limited time: real softswitches among stand-ins.
 
-One process holds the stand-ins; each softswitch is a process of its own, started as the platform does it. The
-runs of a day begin with `warm` seconds that are not counted.
+The stand-ins of the watch server, the engines and the callers run in this process; each softswitch is a
+process of its own, started as the platform starts it. A run begins with a warm-up time that is not counted.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from typing import Any
 
 import orjson
-from twisted.internet import reactor as installed
+from twisted.internet import reactor as installed_reactor
 
 from softswitch import environment
 from softswitch.standin.addresses import own_host
@@ -27,51 +27,52 @@
 from softswitch.standin.engine import Engine, EngineSettings
 from softswitch.standin.traffic import StreamSettings, merged
 
-SIP_PORT = 5_060  # at an address of each softswitch's own
+SIP_PORT = 5_060  # each softswitch has its own address
 ROOT = Path(__file__).resolve().parent.parent.parent
-READY_WITHIN = 20.0  # seconds for all softswitches to answer their test
-ENDED_WITHIN = 8.0  # seconds for them to end once asked; then they are killed
+READY_TIMEOUT = 20.0  # s for all softswitches to respond to OPTIONS
+SHUTDOWN_TIMEOUT = 8.0  # s from SIGTERM to SIGKILL
 
 
 class FleetFailed(Exception):
-    """A softswitch did not come up, or ended by itself; the text has its last lines."""
+    """A softswitch did not start, or ended unexpectedly. The text has the last lines of its log."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """One class of call as the settings have it; seconds, but worth and share."""
+    """A call class for the softswitches' settings. Times are in s."""
 
     name: str
-    aim: float
-    hold: float
-    worth: float = 1.0
-    late_share: float = 0.2
-    given_up: float = 9.0
+    aim: float  # latency objective
+    hold: float  # mean holding time
+    worth: float = 1.0  # priority weight
+    late_share: float = 0.2  # fraction of the weight that a late answer has
+    deadline: float = 9.0
 
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """What is played."""
+    """The traffic and the configuration of one run. Times are in s."""
 
     engines: tuple[EngineSettings, ...]
     classes: tuple[ClassSettings, ...]
     streams: tuple[StreamSettings, ...]
     seconds: float
-    warm_up: float = 0.0
+    warm_up: float = 0.0  # before `seconds`; not counted
     softswitches: int = 1
     seed: int = 1
     max_attempts: int = 6
+    # Of the callers, see `Callers`.
     answer_timeout: float = 3.0
     tries: int = 1
     redial_probability: float = 0.0
     redial_delay: float = 1.0
     honour_retry_after: bool = False
-    record_interval: float = 0.0  # seconds; 0: no traffic record
+    record_interval: float = 0.0  # 0: no traffic record
     record_slot: float = 0.5
     env: dict[str, str] = field(default_factory=dict)
 
     def settings(self) -> dict[str, Any]:
-        """The softswitches' settings, as the platform's configuration has them."""
+        """Returns the softswitches' settings in the form of the platform's configuration."""
         return {
             "family": "trunks",
             "fleet_size": self.softswitches,
@@ -87,7 +88,7 @@
                     "aim": c.aim * 1000,
                     "credit": c.worth,
                     "late_value": c.late_share,
-                    "hard_limit": c.given_up * 1000,
+                    "hard_limit": c.deadline * 1000,
                 }
                 for c in self.classes
             ],
@@ -106,16 +107,17 @@
 
 @dataclass(slots=True)
 class Result:
-    """What was seen from outside, in the counted part of the day."""
+    """What callers and engines counted after the warm-up."""
 
-    seconds: float
-    tallies: dict[tuple[str, int], Tally]
+    seconds: float  # length of the counted time
+    tallies: dict[tuple[str, int], Tally]  # by class and destination cell
     engines: list[dict[str, Any]]
     records: list[str]  # paths of the traffic records
-    counters: list[dict[str, int]]  # of each softswitch, at its end
+    counters: list[dict[str, int]]  # of each softswitch, from its log
     dir: tempfile.TemporaryDirectory[str]
 
     def total(self) -> Tally:
+        """Returns the sum of all tallies."""
         sums = Tally()
         for tally in self.tallies.values():
             sums.add(tally)
@@ -123,36 +125,36 @@
 
 
 class Fleet:
-    """Plays one day. `on_second` is called about once a second with this object."""
+    """Runs one day. `on_second` is called with this object about once a second."""
 
     def __init__(self, day: Day, on_second: Callable[[Fleet], None] | None = None) -> None:
         self.day, self.on_second = day, on_second
-        self.reactor: Any = installed
+        self.reactor: Any = installed_reactor
         self.dir = tempfile.TemporaryDirectory(prefix="willowhitch-")
         self.engines = [Engine(self.reactor, e, day.seed * 7919 + n) for n, e in enumerate(day.engines)]
         self.callers: list[Callers] = []
         self.programs: list[subprocess.Popen[bytes]] = []
         self.logs: list[Path] = []
-        self.failed, self.ending = "", 0.0
+        self.failure, self.ending = "", 0.0  # ending: when the shutdown began
         self.started_at = 0.0
-        self.plan = merged(list(day.streams), day.seed, day.warm_up + day.seconds)
-        self.next = 0
-        self.fallen_behind = 0.0  # the latest that a call was placed after its time, in seconds
-        self.carried_base: list[float] = []
+        self.arrivals = merged(list(day.streams), day.seed, day.warm_up + day.seconds)
+        self.next_arrival = 0
+        self.max_lateness = 0.0  # s between a call's scheduled and actual time
+        self.circuit_seconds_base: list[float] = []
         self.counts_base: list[dict[str, int]] = []
-        self.marks: list[float] = []
+        self.marks: list[float] = []  # start and end of the counted time
 
-    # the day
+    # Course of the day
 
     def run(self) -> Result:
-        """Blocks until the day is over and all that was started has ended. FleetFailed if it went wrong."""
+        """Blocks until the day is over and all processes have ended. Raises FleetFailed on failure."""
         try:
             self.reactor.callWhenRunning(self._start)
             self.reactor.run(installSignalHandlers=False)
         finally:
             self._end_programs()
-        if self.failed:
-            raise FleetFailed(self.failed)
+        if self.failure:
+            raise FleetFailed(self.failure)
         return self._result()
 
     def _start(self) -> None:
@@ -176,8 +178,8 @@
                     | self.extra_configuration(n)
                 )
             )
-            if tables := self.operator_text(n):
-                Path(self.dir.name, f"n{n}.star").write_text(tables)
+            if operator_text := self.operator_text(n):
+                Path(self.dir.name, f"n{n}.star").write_text(operator_text)
             self.logs.append(Path(self.dir.name, f"n{n}.log"))
             self.programs.append(self.start_process(n))
             callers = Callers(
@@ -190,18 +192,20 @@
                 self.day.redial_delay,
                 self.day.honour_retry_after,
             )
-            callers.on_up = self._softswitch_ready
+            callers.on_ready = self._softswitch_ready
             self.callers.append(callers)
             callers.connect()
         self.ready_count = 0
-        self.deadline = self.reactor.callLater(READY_WITHIN, self._fail, "a softswitch did not come up")
+        self.ready_timer = self.reactor.callLater(
+            READY_TIMEOUT, self._fail, "a softswitch did not become ready"
+        )
 
     def extra_configuration(self, n: int) -> dict[str, Any]:
-        """Keys of the configuration that this softswitch has besides."""
+        """Returns additional configuration keys for this softswitch."""
         return {}
 
     def operator_text(self, n: int) -> str:
-        """Its operator file; empty: it has none."""
+        """Returns the text of its operator file; empty if it has none."""
         if not self.day.record_interval:
             return ""
         return (
@@ -210,105 +214,107 @@
         )
 
     def start_process(self, n: int) -> subprocess.Popen[bytes]:
-        """Starts a softswitch, for the first time or again; its log goes on."""
-        star = Path(self.dir.name, f"n{n}.star")
+        """Starts or restarts a softswitch; a restarted one appends to its log."""
+        operator_file = Path(self.dir.name, f"n{n}.star")
         env = os.environ | {"BALANCER_CONFIG": str(Path(self.dir.name, f"n{n}.json"))} | self.day.env
         env = environment.without(env, environment.OPERATOR_FILE)
-        if star.exists():
-            env["SOFTSWITCH_OPERATOR"] = str(star)
-        with open(self.logs[n], "ab") as out:
+        if operator_file.exists():
+            env["SOFTSWITCH_OPERATOR"] = str(operator_file)
+        with open(self.logs[n], "ab") as log:
             return subprocess.Popen(
                 [sys.executable, "-m", "softswitch"],
                 cwd=ROOT,
                 env=env,
-                stdout=out,
-                stderr=out,
+                stdout=log,
+                stderr=log,
                 stdin=subprocess.DEVNULL,
             )
 
-    def _fail(self, why: str) -> None:
-        if not self.failed:
-            said = [
+    def _fail(self, reason: str) -> None:
+        if not self.failure:
+            log_lines = [
                 f"{log.name}: {line}"
                 for log in self.logs
                 for line in log.read_text(errors="replace").splitlines()[-5:]
             ]
-            self.failed = "; ".join([why, *said])
+            self.failure = "; ".join([reason, *log_lines])
             self._stop()
 
     def _softswitch_ready(self) -> None:
         self.ready_count += 1
         if self.ready_count == self.day.softswitches:
-            self.deadline.cancel()
+            self.ready_timer.cancel()
             self.started_at = self.reactor.seconds()
             self.started_unix = time()
             self.reactor.callLater(self.day.warm_up, self._start_counting)
-            self.reactor.callLater(1.0, self._second)
-            self._place()
+            self.reactor.callLater(1.0, self._every_second)
+            self._place_due_calls()
 
-    def _place(self) -> None:
-        """Places all calls that are due, then sleeps until the next."""
+    def _place_due_calls(self) -> None:
+        """Places all calls that are due, and schedules the next ones."""
         now = self.reactor.seconds() - self.started_at
-        while self.next < len(self.plan) and self.plan[self.next][0] <= now:
-            at, stream = self.plan[self.next]
-            self.fallen_behind = max(self.fallen_behind, now - at)
-            callers = self.callers_for(self.next)
+        while self.next_arrival < len(self.arrivals) and self.arrivals[self.next_arrival][0] <= now:
+            at, stream = self.arrivals[self.next_arrival]
+            self.max_lateness = max(self.max_lateness, now - at)
+            callers = self.callers_for(self.next_arrival)
             if callers is not None:
                 callers.place(stream)
-            self.next += 1
-        if self.next < len(self.plan):
-            self.reactor.callLater(max(0.0, self.plan[self.next][0] - now), self._place)
+            self.next_arrival += 1
+        if self.next_arrival < len(self.arrivals):
+            self.reactor.callLater(max(0.0, self.arrivals[self.next_arrival][0] - now), self._place_due_calls)
         else:
             self.reactor.callLater(
                 max(0.0, self.day.warm_up + self.day.seconds - now), self._finish_when_idle
             )
 
-    def callers_for(self, nth: int) -> Callers | None:
-        """Who places the nth call; None: nobody."""
-        return self.callers[nth % len(self.callers)]
+    def callers_for(self, index: int) -> Callers | None:
+        """Returns the callers that place this call, or None to skip it."""
+        return self.callers[index % len(self.callers)]
 
     def _start_counting(self) -> None:
-        """The warm-up is over: books are begun anew."""
+        """Resets the counters at the end of the warm-up."""
         for callers in self.callers:
             callers.tallies = {}
         now = self.reactor.seconds()
         for engine in self.engines:
             engine._change_used(0)
-            self.carried_base.append(engine.circuit_seconds)
+            self.circuit_seconds_base.append(engine.circuit_seconds)
             self.counts_base.append(dict(engine.count))
         self.marks = [now]
 
-    def _second(self) -> None:
+    def _every_second(self) -> None:
         if self.ending:
             return None
         for n, program in enumerate(self.programs):
             if program.poll() is not None and self.should_run(n):
-                return self._fail(f"softswitch n{n} ended by itself with {program.returncode}")
+                return self._fail(f"softswitch n{n} ended unexpectedly with exit status {program.returncode}")
         if self.on_second:
             self.on_second(self)
-        self.reactor.callLater(1.0, self._second)
+        self.reactor.callLater(1.0, self._every_second)
         return None
 
     def should_run(self, n: int) -> bool:
-        """Whether it is a fault if this one has ended."""
+        """Returns whether this softswitch is expected to run, so that its end is a failure."""
         return True
 
     def _finish_when_idle(self) -> None:
-        """No more calls: what is open is awaited, so long as it may take."""
+        """After the last call: waits for open tries, for a limited time, then stops the fleet."""
         if len(self.marks) == 1:
             self.marks.append(self.reactor.seconds())
-            self.loads = []
-            for engine, base in zip(self.engines, self.carried_base, strict=True):
+            self.erlangs = []
+            for engine, base in zip(self.engines, self.circuit_seconds_base, strict=True):
                 engine._change_used(0)
-                self.loads.append((engine.circuit_seconds - base) / max(1e-9, self.marks[1] - self.marks[0]))
+                self.erlangs.append(
+                    (engine.circuit_seconds - base) / max(1e-9, self.marks[1] - self.marks[0])
+                )
         waited = self.reactor.seconds() - self.marks[1]
-        if any(c.open for c in self.callers) and waited < self.day.answer_timeout * self.day.tries + 10:
+        if any(c.open_tries for c in self.callers) and waited < self.day.answer_timeout * self.day.tries + 10:
             self.reactor.callLater(0.05, self._finish_when_idle)
         else:
             self._stop()
 
     def _stop(self) -> None:
-        """Asks the softswitches to stop, and serves them until they have."""
+        """Terminates the softswitches, and keeps the stand-ins running until they have ended."""
         if not self.ending:
             self.ending = self.reactor.seconds()
             for program in self.programs:
@@ -316,7 +322,7 @@
                     program.send_signal(signal.SIGTERM)
         if (
             any(p.poll() is None for p in self.programs)
-            and self.reactor.seconds() - self.ending < ENDED_WITHIN
+            and self.reactor.seconds() - self.ending < SHUTDOWN_TIMEOUT
         ):
             self.reactor.callLater(0.05, self._stop)
             return
@@ -329,7 +335,7 @@
         self.reactor.callLater(0.05, self.reactor.stop)
 
     def _end_programs(self) -> None:
-        """Whatever happened, nothing that this object started is left running."""
+        """Kills all processes that still run, whatever happened before."""
         for program in self.programs:
             if program.poll() is None:
                 program.kill()
@@ -344,10 +350,10 @@
             {
                 "cell": e.settings.cell,
                 "circuits": e.settings.circuits,
-                "erlangs": load,
+                "erlangs": erlangs,
                 **{k: v - base.get(k, 0) for k, v in e.count.items()},
             }
-            for e, load, base in zip(self.engines, self.loads, self.counts_base, strict=True)
+            for e, erlangs, base in zip(self.engines, self.erlangs, self.counts_base, strict=True)
         ]
         counters = []
         for log in self.logs:
--- a/softswitch/standin/http_query.py
+++ b/softswitch/standin/http_query.py
@@ -1,4 +1,4 @@
-"""One HTTP call to a softswitch's management address, without waiting for it."""
+"""Asynchronous HTTP requests to a softswitch's management interface."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 HTTP_OK = 200
 
-Done = Callable[[int, Any], None]  # status, 0 if none came; the answer's JSON, None if it is none
+Done = Callable[[int, Any], None]  # status, 0 without a response; the body's JSON, None if it is not JSON
 
 
 class QueryConnection(Protocol):
-    """The connection of one call."""
+    """The connection of one request."""
 
     def __init__(self, request: str, done: Done) -> None:
         self.request = request
@@ -22,19 +22,23 @@
         self.data = b""
 
     def connectionMade(self) -> None:
-        """Called by Twisted."""
+        """Sends the request. Called by Twisted."""
         head = f"{self.request} HTTP/1.1\r\nHost: n\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
         self.transport.write(head.encode())
 
     def dataReceived(self, data: bytes) -> None:
-        """Called by Twisted."""
+        """Collects the response. Called by Twisted."""
         self.data += data
 
     def connectionLost(self, reason: object = None) -> None:
-        """Called by Twisted: the answer is complete, or will never be."""
+        """Reports the response, which may be incomplete. Called by Twisted."""
         head, _, body = self.data.partition(b"\r\n\r\n")
-        words = head.split(b"\r\n")[0].split()
-        status = int(words[1]) if len(words) > 1 and words[1].isdigit() else 0
+        status_line_fields = head.split(b"\r\n")[0].split()
+        status = (
+            int(status_line_fields[1])
+            if len(status_line_fields) > 1 and status_line_fields[1].isdigit()
+            else 0
+        )
         try:
             self.done(status, orjson.loads(body) if body else None)
         except orjson.JSONDecodeError:
@@ -42,7 +46,7 @@
 
 
 class Query(ClientFactory):
-    """One call: `Query("GET /v1/readyz", done)`, for the reactor's `connectTCP`."""
+    """One request, such as `Query("GET /v1/readyz", done)`, for the reactor's `connectTCP`."""
 
     noisy = False
 
@@ -51,14 +55,14 @@
         self.done = done
 
     def buildProtocol(self, addr: object) -> QueryConnection:
-        """Called by Twisted."""
+        """Called by Twisted when the connection is open."""
         return QueryConnection(self.request, self.done)
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:
-        """Called by Twisted."""
+        """Reports that there is no response. Called by Twisted."""
         self.done(0, None)
 
 
 def if_ok(done: Callable[[Any], None]) -> Done:
-    """For callers that want the answer's JSON of a 200, and None for all else."""
+    """Returns a callback that passes the JSON of a 200 response to `done`, and None for any other outcome."""
     return lambda status, value: done(value if status == HTTP_OK else None)
--- a/softswitch/standin/soak/world.py
+++ b/softswitch/standin/soak/world.py
@@ -11,7 +11,7 @@
 
 from softswitch.net.engine_codec import MessageType, Parameter
 from softswitch.standin.board import Board, BoardConnection, ListedEngine
-from softswitch.standin.caller import CallerLine, Callers
+from softswitch.standin.caller import CallerConnection, Callers
 from softswitch.standin.engine import Engine, EngineConnection, EngineSettings
 from softswitch.standin.soak.checker import ANSWER_ALLOWANCE, Checker, SetupFields
 from softswitch.standin.soak.plan import AttemptFault, CallClassPlan, Pressure
@@ -266,31 +266,31 @@
         self.process = process  # which process takes new connections
         self.was_killed = was_killed  # whether SIGKILL went to a process just now
         self.connected_to = ""
-        self.used = False  # whether a set-up went out on this connection
+        self.carried_setup = False  # whether a set-up went out on this connection
         self.pressure = pressure
         self.draws = Random(f"callers {seed}")
 
-    def up(self, line: CallerLine) -> None:
+    def connection_up(self, connection: CallerConnection) -> None:
         """A connection is up."""
         self.connected_to = self.process()
-        self.used = False
+        self.carried_setup = False
         self._note(f"caller connected, to {self.connected_to}")
-        super().up(line)
+        super().connection_up(connection)
 
-    def down(self, line: CallerLine) -> None:
+    def connection_down(self, connection: CallerConnection) -> None:
         """The connection is over: what was sent on it is never answered."""
         self._note("caller's connection over")
-        if self.connection is line:
+        if self.connection is connection:
             self.checker.of(self.process()).caller_disconnected(self.reactor_now())
-            self.checker.connection_ended(self.reactor_now(), list(self.waiting), self.was_killed())
-        super().down(line)
+            self.checker.connection_ended(self.reactor_now(), list(self.pending), self.was_killed())
+        super().connection_down(connection)
 
     def _note(self, event: str) -> None:
         self.checker.timeline.note(self.reactor_now(), softswitch_of(self.process()), event)
 
     def reactor_now(self) -> float:
         """Seconds."""
-        return float(self.clock_.seconds())
+        return float(self.reactor.seconds())
 
     def place_call(self, call_class: CallClassPlan, destination: int, patience: float) -> None:
         """One call, unless no connection is up."""
@@ -299,48 +299,50 @@
         self.answer_timeout = patience
         number = str(self.draws.randrange(NUMBERS))
         self.place(StreamSettings(call_class.name, 1.0, destination, number=number))
-        call, now = f"{self.last:016x}", self.reactor_now()
-        fields = SetupFields(call_class.name, number, self.waiting[call].description)
+        call, now = f"{self.last_call_id:016x}", self.reactor_now()
+        fields = SetupFields(call_class.name, number, self.pending[call].description)
         self.checker.setup_sent(now, call, patience, call_class.idempotent, self.connected_to, fields)
-        self.waiting[call].timer.reset(patience + ANSWER_ALLOWANCE)
-        if not self.used:  # what only tests connect for can carry no release
-            self.used = True
+        self.pending[call].timer.reset(patience + ANSWER_ALLOWANCE)
+        if not self.carried_setup:  # what only tests connect for can carry no release
+            self.carried_setup = True
             self.checker.of(self.connected_to).caller_connected(now)
         if self.draws.random() < self.pressure.leave_early:
             latest = self.draws.choice((min(patience, SOON), patience))  # most calls are answered soon
-            self.clock_.callLater(self.draws.uniform(0.0, latest), self._leave, call)
+            self.reactor.callLater(self.draws.uniform(0.0, latest), self._leave, call)
 
     def _leave(self, call: str) -> None:
-        one = self.waiting.get(call)
-        if one is None or self.connection is None:
+        pending_try = self.pending.get(call)
+        if pending_try is None or self.connection is None:
             return
-        self.connection.send(f"CANCEL sip:{one.stream.number}@net SIP/2.0", call, "CANCEL")
+        self.connection.send(f"CANCEL sip:{pending_try.stream.number}@net SIP/2.0", call, "CANCEL")
         self.checker.caller_left(self.reactor_now(), call)
-        self._settle(call, 0, 0.0)
+        self._fail_try(call, 0, 0.0)
 
     def _hang_up(self, call: str) -> None:
-        if call not in self.standing or self.connection is None:
+        if call not in self.established or self.connection is None:
             return
-        del self.standing[call]
+        del self.established[call]
         self.connection.send("BYE sip:call@net SIP/2.0", call, "BYE", "Reason: Q.850;cause=16")
         self.checker.caller_released_call(self.reactor_now(), call)
 
-    def _given_up(self, call: str) -> None:
+    def _timed_out(self, call: str) -> None:
         self.checker.patience_over(self.reactor_now(), call)
-        super()._given_up(call)
+        super()._timed_out(call)
 
-    def message_received(self, line: CallerLine, first: str, headers: dict[str, str], body: bytes) -> None:
+    def message_received(
+        self, connection: CallerConnection, start_line: str, headers: dict[str, str], body: bytes
+    ) -> None:
         """A message came."""
         now, call = self.reactor_now(), headers.get("call-id", "")
-        if first.startswith("BYE"):
+        if start_line.startswith("BYE"):
             self.checker.caller_released(now, call)
-        elif first.startswith("SIP/") and headers.get("cseq", "").endswith("INVITE"):
-            code = int(first.split(" ")[1])
+        elif start_line.startswith("SIP/") and headers.get("cseq", "").endswith("INVITE"):
+            code = int(start_line.split(" ")[1])
             if code >= 200:
                 self.checker.answered(now, call, code, self.lag.lag)
-        super().message_received(line, first, headers, body)
-        if call in self.standing and self.draws.random() < self.pressure.hang_up:
-            self.clock_.callLater(self.draws.uniform(0.0, 1.0), self._hang_up, call)
+        super().message_received(connection, start_line, headers, body)
+        if call in self.established and self.draws.random() < self.pressure.hang_up:
+            self.reactor.callLater(self.draws.uniform(0.0, 1.0), self._hang_up, call)
 
 
 class CrowdConnection(Protocol):
