--- a/benchmarks/operation.py
+++ b/benchmarks/operation.py
@@ -37,18 +37,20 @@
     from twisted.internet import reactor
 
     from softswitch.cli.demo import day
-    from softswitch.standin.board import Board, ListedEngine
+    from softswitch.standin.board import ListedEngine, WatchServer
     from softswitch.standin.engine import Engine
 
     made = day(10.0, 100.0, 3, 400, 1)
     engines = [Engine(reactor, e, n) for n, e in enumerate(made.engines)]
-    board = Board(reactor, [ListedEngine(e.settings.name, e.listen(), e.settings.cell) for e in engines])
-    at = board.listen()
+    watch_server = WatchServer(
+        reactor, [ListedEngine(e.settings.name, e.listen(), e.settings.cell) for e in engines]
+    )
+    at = watch_server.listen()
     print(
         json.dumps(
             {
                 "board": f"{at[0]}:{at[1]}",
-                "known": board.known(),
+                "known": watch_server.known(),
                 "settings": made.settings(),
                 "seed": "1f",
                 "name": "n0",
--- a/softswitch/standin/board.py
+++ b/softswitch/standin/board.py
@@ -52,25 +52,25 @@
         }
 
 
-class BoardConnection(Protocol):
+class WatchServerConnection(Protocol):
     """A connection from a softswitch."""
 
-    def __init__(self, board: Board) -> None:
-        self.board, self.data, self.last_event = board, b"", -1
+    def __init__(self, watch_server: WatchServer) -> None:
+        self.watch_server, self.data, self.last_event = watch_server, b"", -1
 
     def dataReceived(self, data: bytes) -> None:
         """Reads the number of the softswitch's last event and sends the later ones. Called by Twisted."""
         self.data += data
         if self.last_event < 0 and len(self.data) >= 8:
             self.last_event = int.from_bytes(self.data[:8], "big")
-            for event_number, event_type, payload in self.board.events:
+            for event_number, event_type, payload in self.watch_server.events:
                 if event_number > self.last_event:
                     self.send(event_number, event_type, payload)
-            self.board.connections[self] = None
+            self.watch_server.connections[self] = None
 
     def connectionLost(self, reason: object = None) -> None:
         """Removes the connection. Called by Twisted."""
-        self.board.connections.pop(self, None)
+        self.watch_server.connections.pop(self, None)
 
     def send(self, event_number: int, event_type: int, payload: bytes = b"") -> None:
         """Sends one event."""
@@ -81,7 +81,7 @@
         )
 
 
-class Board(Factory):
+class WatchServer(Factory):
     """The watch server.
 
     After 1,000 events it replaces its history by one event with the complete list, so a softswitch that is
@@ -95,16 +95,16 @@
         self.listed = {entry.name: entry for entry in listed}
         self.event_number = 1
         self.events: list[tuple[int, int, bytes]] = [(1, COMPLETE, self._complete_list())]
-        self.connections: dict[BoardConnection, None] = {}
+        self.connections: dict[WatchServerConnection, None] = {}
         self.port: Any = None
         self.heartbeat_timer: Any = None
 
     def _complete_list(self) -> bytes:
         return b"".join(entry.record() for entry in self.listed.values())
 
-    def buildProtocol(self, addr: object) -> BoardConnection:
+    def buildProtocol(self, addr: object) -> WatchServerConnection:
         """Called by Twisted for each connection."""
-        return BoardConnection(self)
+        return WatchServerConnection(self)
 
     def listen(self, host: str = "127.0.0.1", port: int = 0) -> tuple[str, int]:
         """Listens and sends periodic heartbeats from now on."""
--- a/softswitch/standin/fleet.py
+++ b/softswitch/standin/fleet.py
@@ -22,7 +22,7 @@
 
 from softswitch import environment
 from softswitch.standin.addresses import own_host
-from softswitch.standin.board import Board, ListedEngine
+from softswitch.standin.board import ListedEngine, WatchServer
 from softswitch.standin.caller import Callers, Tally
 from softswitch.standin.engine import Engine, EngineSettings
 from softswitch.standin.traffic import StreamSettings, merged
@@ -159,8 +159,8 @@
 
     def _start(self) -> None:
         listed = [ListedEngine(e.settings.name, e.listen(own_host()), e.settings.cell) for e in self.engines]
-        self.board = Board(self.reactor, listed)
-        board = self.board.listen(own_host())
+        self.board = WatchServer(self.reactor, listed)
+        watch_server_address = self.board.listen(own_host())
         for n in range(self.day.softswitches):
             host = own_host()
             config = Path(self.dir.name, f"n{n}.json")
@@ -171,7 +171,7 @@
                         "listen": f"{host}:{SIP_PORT}",
                         "seed": f"{self.day.seed * 31 + n:016x}",
                         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                        "board": f"{board[0]}:{board[1]}",
+                        "board": f"{watch_server_address[0]}:{watch_server_address[1]}",
                         "known": self.board.known(),
                         "settings": self.day.settings(),
                     }
--- a/softswitch/standin/soak/run.py
+++ b/softswitch/standin/soak/run.py
@@ -29,7 +29,7 @@
 from softswitch.standin.http_query import HTTP_OK, Query
 from softswitch.standin.soak.checker import Broken, Checker, Limits, Rule
 from softswitch.standin.soak.plan import Crowd, EngineEpisode, EngineFault, Episode, Plan, Signals
-from softswitch.standin.soak.world import CrowdConnection, LagMeter, SoakBoard, SoakCallers, SoakEngine
+from softswitch.standin.soak.world import CrowdConnection, LagMeter, SoakCallers, SoakEngine, SoakWatchServer
 
 SIP_PORT, MGMT_PORT = 5_060, 15_000  # at an address of its own; each process has a management port more
 FIRST_ADVICE = 2_000.0  # ms that rejected callers are told to stay away
@@ -110,8 +110,8 @@
         self.address = (host, SIP_PORT)
         self.engines = [self._engine(k) for k in range(soak.plan.engines)]
         listed = [ListedEngine(e.settings.name, e.listen(host), e.settings.cell) for e in self.engines]
-        self.board = SoakBoard(soak.reactor, listed)
-        self.board_address = self.board.listen(host)
+        self.watch_server = SoakWatchServer(soak.reactor, listed)
+        self.watch_server_address = self.watch_server.listen(host)
         self.folder = Path(soak.dir.name, self.name)
         self.folder.mkdir()
         self.config = self.folder / "config.json"
@@ -160,8 +160,8 @@
             "listen": "{}:{}".format(*self.address),
             "seed": f"{plan.seed * 31 + self.n:016x}",
             "limits": {"cores": 1.0, "memory_mb": plan.memory_mb, "sockets": plan.descriptors},
-            "board": "{}:{}".format(*self.board_address),
-            "known": self.board.known(),
+            "board": "{}:{}".format(*self.watch_server_address),
+            "known": self.watch_server.known(),
             "settings": settings,
         }
         self.config.write_bytes(orjson.dumps(made))
@@ -298,23 +298,23 @@
         if engine.settings.name in self.soak.checker.drained:
             return
         self.note(f"{engine.settings.name} drains")
-        self.board.change_health(engine, "leaving")
+        self.watch_server.change_health(engine, "leaving")
         self.soak.checker.engine_drained(self.soak.now(), engine.settings.name)
         await self.soak.sleep(seconds)
-        self.board.change_health(engine, "left")
+        self.watch_server.change_health(engine, "left")
         engine.stop()
         await self.soak.sleep(1.0)
         self.soak.checker.engine_back(engine.settings.name)
         engine.restart()
-        self.board.change_health(engine, "active", born_ms=int(time() * 1000))
+        self.watch_server.change_health(engine, "active", born_ms=int(time() * 1000))
 
-    async def silence_board(self, seconds: float) -> None:
+    async def silence_watch_server(self, seconds: float) -> None:
         """The board stays connected and says nothing."""
-        self.board.fall_silent()
+        self.watch_server.go_silent()
         now = self.soak.now()
         self.soak.checker.board_silent(now, now + seconds, self.name)
         await self.soak.sleep(seconds)
-        self.board.speak_again()
+        self.watch_server.resume()
 
 
 class Soak:
@@ -410,7 +410,7 @@
             for drain in self.plan.pressure.drains:
                 self._start_at(drain[0], member.play_drain, drain)
             for at, seconds in self.plan.silent_board:
-                self._start_at(at, member.silence_board, seconds)
+                self._start_at(at, member.silence_watch_server, seconds)
         for crowd in self.plan.crowds:
             self.reactor.callLater(crowd.at, self._gather, crowd)
 
@@ -461,7 +461,7 @@
             connection.transport.abortConnection()
         for member in self.members:
             member.callers.stop()
-            member.board.stop()
+            member.watch_server.stop()
             for engine in member.engines:
                 engine.stop()
 
--- a/softswitch/standin/soak/world.py
+++ b/softswitch/standin/soak/world.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import Protocol
 
 from softswitch.net.engine_codec import MessageType, Parameter
-from softswitch.standin.board import Board, BoardConnection, ListedEngine
+from softswitch.standin.board import ListedEngine, WatchServer, WatchServerConnection
 from softswitch.standin.caller import CallerConnection, Callers
 from softswitch.standin.engine import Engine, EngineConnection, EngineSettings
 from softswitch.standin.soak.checker import ANSWER_ALLOWANCE, Checker, SetupFields
@@ -208,31 +208,31 @@
         super()._send_release(connection, call, cause)
 
 
-class SilentBoardConnection(BoardConnection):
+class SilentWatchServerConnection(WatchServerConnection):
     """A softswitch's connection to a board that falls silent now and then."""
 
     def send(self, event_number: int, event_type: int, payload: bytes = b"") -> None:
         """Nothing is said while the board is silent."""
-        assert isinstance(self.board, SoakBoard)
-        if not self.board.silent:
+        assert isinstance(self.watch_server, SoakWatchServer)
+        if not self.watch_server.silent:
             super().send(event_number, event_type, payload)
 
 
-class SoakBoard(Board):
+class SoakWatchServer(WatchServer):
     """A board that falls silent, and tells what was missed afterwards."""
 
     silent = False
 
-    def buildProtocol(self, addr: object) -> BoardConnection:
+    def buildProtocol(self, addr: object) -> WatchServerConnection:
         """Called by Twisted."""
-        return SilentBoardConnection(self)
+        return SilentWatchServerConnection(self)
 
-    def fall_silent(self) -> None:
+    def go_silent(self) -> None:
         """Connections stay, and bring nothing."""
         self.silent = True
         self._missed_from = self.event_number
 
-    def speak_again(self) -> None:
+    def resume(self) -> None:
         """What was missed is told."""
         self.silent = False
         for event_number, event_type, payload in self.events:
