--- a/softswitch/standin/soak/run.py
+++ b/softswitch/standin/soak/run.py
@@ -27,7 +27,7 @@
 from softswitch.standin.engine import EngineSettings
 from softswitch.standin.fleet import ROOT
 from softswitch.standin.http_query import HTTP_OK, Query
-from softswitch.standin.soak.checker import Broken, Checker, Limits, Rule
+from softswitch.standin.soak.checker import Checker, Limits, Rule, RuleViolation
 from softswitch.standin.soak.plan import Crowd, EngineEpisode, EngineFault, Episode, Plan, Signals
 from softswitch.standin.soak.world import CrowdConnection, LagMeter, SoakCallers, SoakEngine, SoakWatchServer
 
@@ -64,7 +64,7 @@
     stand_in_lag: float  # s, the most seen
     judged: dict[str, int]  # how often each rule was looked at
     excused: dict[str, int]  # of these, with more allowed than usual
-    broken: tuple[Broken, ...]
+    broken: tuple[RuleViolation, ...]
 
     def report(self) -> dict[str, Any]:
         """All of it, for a JSON object."""
@@ -189,7 +189,7 @@
         self.processes.append(process)
         self.note(f"{process.name} started")
         replaces = any(p.running for p in self.processes[:-1])
-        self.soak.checker.of(self.name).process_started(self.soak.now(), process.name, replaces)
+        self.soak.checker.surroundings_of(self.name).process_started(self.soak.now(), process.name, replaces)
         return process
 
     async def until_ready(self, process: Process, within: float) -> bool:
@@ -199,10 +199,10 @@
             if await self.soak.ask(process, "GET /v1/readyz") == HTTP_OK:
                 self.serving = process.name
                 self.note(f"{process.name} ready")
-                self.soak.checker.of(self.name).process_ready(self.soak.now(), process.name)
+                self.soak.checker.surroundings_of(self.name).process_ready(self.soak.now(), process.name)
                 return True
             await self.soak.sleep(POLL)
-        self.soak.checker.not_ready(self.soak.now(), process.name, within)
+        self.soak.checker.process_not_ready(self.soak.now(), process.name, within)
         return False
 
     async def stop(
@@ -236,7 +236,7 @@
         self.note(f"{process.name} ended")
         code = process.program.returncode
         if not (early and code in ENDED_IN_START):
-            soak.checker.exited(soak.now(), process.name, code)
+            soak.checker.process_exited(soak.now(), process.name, code)
 
     async def start_again(self) -> None:
         """Starts a process where the one before has ended."""
@@ -295,7 +295,7 @@
         await self._drain(self.engines[n], seconds)
 
     async def _drain(self, engine: SoakEngine, seconds: float) -> None:
-        if engine.settings.name in self.soak.checker.drained:
+        if engine.settings.name in self.soak.checker.drained_at:
             return
         self.note(f"{engine.settings.name} drains")
         self.watch_server.change_health(engine, "leaving")
@@ -304,7 +304,7 @@
         self.watch_server.change_health(engine, "left")
         engine.stop()
         await self.soak.sleep(1.0)
-        self.soak.checker.engine_back(engine.settings.name)
+        self.soak.checker.engine_active(engine.settings.name)
         engine.restart()
         self.watch_server.change_health(engine, "active", born_ms=int(time() * 1000))
 
@@ -312,7 +312,7 @@
         """The board stays connected and says nothing."""
         self.watch_server.go_silent()
         now = self.soak.now()
-        self.soak.checker.board_silent(now, now + seconds, self.name)
+        self.soak.checker.watch_server_silent(now, now + seconds, self.name)
         await self.soak.sleep(seconds)
         self.watch_server.resume()
 
@@ -449,10 +449,10 @@
         for process in (p for m in self.members for p in m.processes):
             usage = process.usage() if process.running else None
             if usage is not None:
-                self.checker.sampled(self.now(), process.name, *usage, limits)
+                self.checker.process_sampled(self.now(), process.name, *usage, limits)
             elif not process.running and not process.stopping:
                 process.stopping = True
-                self.checker.exited(self.now(), process.name, process.program.returncode or 1)
+                self.checker.process_exited(self.now(), process.name, process.program.returncode or 1)
         self.reactor.callLater(SAMPLE, self._sample)
 
     def _end(self) -> None:
@@ -469,19 +469,19 @@
         checker = self.checker
         return Outcome(
             self.plan,
-            checker.taken,
+            checker.setups,
             checker.answers,
-            checker.late,
-            checker.left,
-            checker.crossed,
+            checker.late_answers,
+            checker.abandoned,
+            checker.crossed_setups,
             checker.attempts,
             checker.releases,
             dict(self.signals),
             sum(len(m.processes) for m in self.members),
             self.most_lag,
-            {rule.name: checker.judged[rule] for rule in Rule},
-            {rule.name: checker.excused[rule] for rule in Rule if checker.excused[rule]},
-            tuple(checker.broken),
+            {rule.name: checker.checked[rule] for rule in Rule},
+            {rule.name: checker.exempt[rule] for rule in Rule if checker.exempt[rule]},
+            tuple(checker.violations),
         )
 
 
--- a/softswitch/standin/soak/surroundings.py
+++ b/softswitch/standin/soak/surroundings.py
@@ -1,7 +1,7 @@
-"""What the processes and connections of one softswitch did, as far as it excuses what is seen on the wire.
+"""The history of one softswitch's processes and connections, as far as it exempts calls from the rules.
 
-It knows no socket and reads no clock: times come in, in seconds. An excuse holds for one process or one call,
-never for all of them.
+This module uses no sockets and no clock: callers pass the times, in seconds. An exemption applies to one
+process or one call, never to all of them.
 """
 
 from __future__ import annotations
@@ -9,80 +9,83 @@
 from dataclasses import dataclass, field
 from math import inf
 
-TOLD_AFTER = 7.0  # s after which an event of the board counts as told, whatever became of it
-BINDING_AFTER = (
-    2.0  # s from a replacement's readiness on, from which the board's news binds the two processes
-)
-KEPT_OUTAGES = 256  # of callers' connections
+# s after an event of the watch server; then every process counts as notified, whatever happened.
+MAX_NOTIFICATION_DELAY = 7.0
+# s after a replacement is ready; then both processes are expected to act on the watch server's events.
+REPLACEMENT_DELAY = 2.0
+MAX_OUTAGES = 256  # of the callers' connections, retained
 
 
 @dataclass(slots=True)
 class ProcessTimes:
-    """When a process started, and took callers."""
+    """When a process started and became ready."""
 
-    started: float
-    replaces: bool = False  # another process of the softswitch ran as it started
-    ready: float = inf
+    started_at: float
+    replaces: bool = False  # another process of the softswitch was running when it started
+    ready_at: float = inf
 
 
 @dataclass(slots=True)
-class Told:
-    """When an event of the board counts as told to a process."""
+class Notification:
+    """When a process counts as notified of an event of the watch server."""
 
     at: float
-    excused: bool = False  # later than it was on the board
+    exempt: bool = False  # later than the event
 
 
 @dataclass(slots=True)
 class Surroundings:
-    """One softswitch."""
+    """Processes, watch server silences and caller outages of one softswitch."""
 
     processes: dict[str, ProcessTimes] = field(default_factory=dict)
-    silences: list[tuple[float, float]] = field(default_factory=list)  # of its board: from, to
-    # Times in which no caller was connected: from, to. The last one may be open.
+    silences: list[tuple[float, float]] = field(default_factory=list)  # of its watch server: (start, end)
+    # Times without a connected caller: (start, end). The last one may be open.
     outages: list[tuple[float, float]] = field(default_factory=lambda: [(-inf, inf)])
 
     def process_started(self, at: float, process: str, replaces: bool = False) -> None:
-        """It has the list of that moment from its start on."""
+        """Records a process start. The process starts with the engine list of this time."""
         self.processes[process] = ProcessTimes(at, replaces)
 
     def process_ready(self, at: float, process: str) -> None:
-        """It takes callers, and follows the board."""
+        """Records that a process accepts callers and receives the watch server's events."""
         if process in self.processes:
-            self.processes[process].ready = at
+            self.processes[process].ready_at = at
 
-    def told_at(self, process: str, event_at: float) -> Told:
-        """When the process counts as told of an event that came to the board then."""
+    def notified_at(self, process: str, event_at: float) -> Notification:
+        """Returns when the process counts as notified of an event that the watch server had at `event_at`."""
         times = self.processes.get(process)
-        if times is not None and event_at <= times.started:
-            return Told(times.started)
-        reached = self._board_reached_at(times, event_at)
-        for since, until in self.silences:
-            if since <= reached < until:  # it is connected, and the board says nothing
-                reached = until
-        return Told(min(reached, event_at + TOLD_AFTER), reached > event_at)
-
-    def _board_reached_at(self, times: ProcessTimes | None, event_at: float) -> float:
-        """When the process follows the board, from that event on at the earliest."""
-        if times is not None and event_at < times.ready:
-            return times.ready + (BINDING_AFTER if times.replaces else 0.0)
+        if times is not None and event_at <= times.started_at:
+            return Notification(times.started_at)
+        received_at = self._event_received_at(times, event_at)
+        for start, end in self.silences:
+            if start <= received_at < end:  # connected, but the watch server sends nothing
+                received_at = end
+        return Notification(min(received_at, event_at + MAX_NOTIFICATION_DELAY), received_at > event_at)
+
+    def _event_received_at(self, times: ProcessTimes | None, event_at: float) -> float:
+        """Returns when the process can receive the event, without regard to silences."""
+        if times is not None and event_at < times.ready_at:
+            return times.ready_at + (REPLACEMENT_DELAY if times.replaces else 0.0)
         for successor in self.processes.values():
-            if successor.replaces and successor.started <= event_at < successor.ready + BINDING_AFTER:
-                return successor.ready + BINDING_AFTER
+            if (
+                successor.replaces
+                and successor.started_at <= event_at < successor.ready_at + REPLACEMENT_DELAY
+            ):
+                return successor.ready_at + REPLACEMENT_DELAY
         return event_at
 
     def caller_connected(self, at: float) -> None:
-        """A caller uses a connection to it."""
-        since, until = self.outages[-1]
-        if until == inf:
-            self.outages[-1] = (since, at)
+        """Records that a caller uses a connection to the softswitch."""
+        start, end = self.outages[-1]
+        if end == inf:
+            self.outages[-1] = (start, at)
 
     def caller_disconnected(self, at: float) -> None:
-        """No caller is connected any more."""
+        """Records that no caller is connected any more."""
         if self.outages[-1][1] != inf:
             self.outages.append((at, inf))
-            del self.outages[:-KEPT_OUTAGES]
+            del self.outages[:-MAX_OUTAGES]
 
     def callers_connected(self, since: float, until: float) -> bool:
-        """Whether a caller was connected all that time."""
+        """Returns whether a caller was connected all the time from `since` to `until`."""
         return not any(start < until and end > since for start, end in self.outages)
--- a/softswitch/standin/soak/timeline.py
+++ b/softswitch/standin/soak/timeline.py
@@ -1,15 +1,15 @@
-"""What happened around the calls of each softswitch of a soak: processes, signals, connections.
+"""Records the events of each softswitch of a soak: processes, signals and connections.
 
-The events of one call often can't tell why a rule was broken: whether its caller was connected, or which
-process read an engine's message, stands in those of its softswitch. Times are in seconds.
+The events of a call often don't show why a rule was violated. The events of its softswitch show whether its
+caller was connected and which process read an engine's message. Times are in seconds.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-MAX_EVENTS = 10_000  # of one softswitch, the oldest are dropped first
-MAX_REPORTED = 80  # events beside one broken rule, the latest
+MAX_EVENTS = 10_000  # per softswitch; the oldest is dropped first
+MAX_REPORTED = 80  # events reported with a violation: the latest ones
 
 
 class Timeline:
@@ -19,17 +19,17 @@
         self._events: dict[str, deque[tuple[float, str]]] = {}
 
     def note(self, at: float, softswitch: str, event: str) -> None:
-        """Something happened."""
+        """Records an event."""
         events = self._events.setdefault(softswitch, deque(maxlen=MAX_EVENTS))
         events.append((at, event))
 
     def between(self, softswitch: str, since: float, until: float) -> tuple[str, ...]:
-        """The events of that time, a line each."""
+        """Returns the latest events of that time, one line each."""
         events = self._events.get(softswitch, ())
         lines = [f"{at:.3f} {event}" for at, event in events if since <= at <= until]
         return tuple(lines[-MAX_REPORTED:])
 
 
 def softswitch_of(process: str) -> str:
-    """The softswitch that a process belongs to: `n0` of `n0.1`."""
+    """Returns the softswitch of a process: `n0` for `n0.1`."""
     return process.partition(".")[0]
--- a/softswitch/standin/soak/world.py
+++ b/softswitch/standin/soak/world.py
@@ -88,11 +88,11 @@
         self.written_releases: dict[str, int] = {}  # since a connection was opened last: call, cause
 
     def _attempt_over(
-        self, call: str, what: str, may_have_run: bool = True, needs_quiet: bool = True
+        self, call: str, what: str, may_have_run: bool = True, needs_retry_delay: bool = True
     ) -> None:
         if self.attempts.pop(call, None) is not None:
             now = self.reactor.seconds()
-            self.checker.attempt_ended(now, call, self.settings.name, what, may_have_run, needs_quiet)
+            self.checker.attempt_ended(now, call, self.settings.name, what, may_have_run, needs_retry_delay)
 
     def message_received(
         self, connection: EngineConnection, message_type: int, call: str, parameters: dict[int, bytes]
@@ -103,7 +103,7 @@
             self._setup_came(now, connection, call, parameters)
         elif message_type == MessageType.RELEASE:
             self._attempt_over(call, "withdrawn")
-            self.checker.engine_told(now, call)
+            self.checker.engine_notified(now, call)
         if self.hung:
             return
         if message_type == MessageType.SETUP and self.draws.random() < self.pressure.faulty_attempts:
@@ -116,14 +116,14 @@
         self, now: float, connection: EngineConnection, call: str, parameters: dict[int, bytes]
     ) -> None:
         lag = self.lag.lag
-        self.checker.attempt(now, call, self.settings.name, lag)
+        self.checker.attempt_received(now, call, self.settings.name, lag)
         self.attempts[call] = connection
         call_class, number = (
             parameters.get(p, b"").decode("latin-1") for p in (Parameter.CALL_CLASS, Parameter.NUMBER)
         )
         fields = SetupFields(call_class, number, parameters.get(Parameter.DESCRIPTION, b""))
         time_left = float(parameters.get(Parameter.TIME_LEFT, b"0")) / 1000
-        self.checker.setup_read(now, call, fields, time_left, lag)
+        self.checker.setup_fields_received(now, call, fields, time_left, lag)
 
     def _spoil(self, connection: EngineConnection, call: str, fault: AttemptFault) -> None:
         """Answers an attempt with a fault, or never."""
@@ -281,8 +281,8 @@
         """The connection is over: what was sent on it is never answered."""
         self._note("caller's connection over")
         if self.connection is connection:
-            self.checker.of(self.process()).caller_disconnected(self.reactor_now())
-            self.checker.connection_ended(self.reactor_now(), list(self.pending), self.was_killed())
+            self.checker.surroundings_of(self.process()).caller_disconnected(self.reactor_now())
+            self.checker.connection_closed(self.reactor_now(), list(self.pending), self.was_killed())
         super().connection_down(connection)
 
     def _note(self, event: str) -> None:
@@ -305,7 +305,7 @@
         self.pending[call].timer.reset(patience + ANSWER_ALLOWANCE)
         if not self.carried_setup:  # what only tests connect for can carry no release
             self.carried_setup = True
-            self.checker.of(self.connected_to).caller_connected(now)
+            self.checker.surroundings_of(self.connected_to).caller_connected(now)
         if self.draws.random() < self.pressure.leave_early:
             latest = self.draws.choice((min(patience, SOON), patience))  # most calls are answered soon
             self.reactor.callLater(self.draws.uniform(0.0, latest), self._leave, call)
@@ -315,7 +315,7 @@
         if pending_try is None or self.connection is None:
             return
         self.connection.send(f"CANCEL sip:{pending_try.stream.number}@net SIP/2.0", call, "CANCEL")
-        self.checker.caller_left(self.reactor_now(), call)
+        self.checker.caller_abandoned(self.reactor_now(), call)
         self._fail_try(call, 0, 0.0)
 
     def _hang_up(self, call: str) -> None:
@@ -323,10 +323,10 @@
             return
         del self.established[call]
         self.connection.send("BYE sip:call@net SIP/2.0", call, "BYE", "Reason: Q.850;cause=16")
-        self.checker.caller_released_call(self.reactor_now(), call)
+        self.checker.caller_hung_up(self.reactor_now(), call)
 
     def _timed_out(self, call: str) -> None:
-        self.checker.patience_over(self.reactor_now(), call)
+        self.checker.answer_timed_out(self.reactor_now(), call)
         super()._timed_out(call)
 
     def message_received(
@@ -335,11 +335,11 @@
         """A message came."""
         now, call = self.reactor_now(), headers.get("call-id", "")
         if start_line.startswith("BYE"):
-            self.checker.caller_released(now, call)
+            self.checker.caller_notified(now, call)
         elif start_line.startswith("SIP/") and headers.get("cseq", "").endswith("INVITE"):
             code = int(start_line.split(" ")[1])
             if code >= 200:
-                self.checker.answered(now, call, code, self.lag.lag)
+                self.checker.answer_received(now, call, code, self.lag.lag)
         super().message_received(connection, start_line, headers, body)
         if call in self.established and self.draws.random() < self.pressure.hang_up:
             self.reactor.callLater(self.draws.uniform(0.0, 1.0), self._hang_up, call)
