--- a/softswitch/standin/soak/plan.py
+++ b/softswitch/standin/soak/plan.py
@@ -1,6 +1,6 @@
-"""What one soak does, drawn from its seed: sizes, settings, signals, engines' faults, discovery, crowds.
+"""The plan of a soak, generated from its seed: sizes, settings, signals, engine faults, silences, crowds.
 
-The same seed draws the same plan. Times are in seconds, those of the settings in ms.
+A seed always generates the same plan. Times are in s; times of the settings are in ms.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from random import Random
 from typing import Any
 
-LONGEST_COUNTED = 3.0  # s; a longer deadline counts as this at a stop
-LONGEST_COUNTED_REPLACED = 5.0  # s, where another process has taken over
-STOP_ALLOWANCE = 0.7  # s more until SIGKILL may come
-FIRST_EPISODE = 2.0  # s from the start
+MAX_COUNTED_DEADLINE = 3.0  # s; a longer deadline counts as this at a shutdown
+MAX_COUNTED_DEADLINE_REPLACED = 5.0  # s; the same if another process has taken over
+STOP_ALLOWANCE = 0.7  # s after the longest counted deadline, until SIGKILL is allowed
+FIRST_EPISODE = 2.0  # s; earliest time of the first series of signals
 EPISODE_GAP = (6.0, 9.0)  # s between two series of signals at one softswitch
 TICKS = (1.0, 2.0, 5.0, 10.0, 20.0)  # ms
-DRAIN_SECONDS = (3.0, 15.0)  # s from a drain to the end of its engine
+DRAIN_SECONDS = (3.0, 15.0)  # s from an engine's drain to its end
 IDEMPOTENCY = ("read_like", "non_idempotent", "other")
 
 
@@ -32,7 +32,7 @@
 
 
 class EngineFault(StrEnum):
-    """What an engine does."""
+    """A fault of a whole engine."""
 
     HANG = "hangs"
     RESET = "resets its connections"
@@ -40,7 +40,7 @@
 
 
 class AttemptFault(StrEnum):
-    """What an engine does with one attempt in place of serving it."""
+    """What an engine does with an attempt instead of serving it."""
 
     FULL = "processor full, with a wait"
     NO_CIRCUIT = "no circuit"
@@ -52,47 +52,47 @@
 
 FaultMix = tuple[tuple[AttemptFault, float], ...]  # faults with their weights
 
-# A full processor closes an engine's gate for long, and calls that are rejected at once need no retry: so
-# most seeds are without.
+# A full processor closes an engine's gate for a long time, and calls that are rejected at once are not
+# retried. Therefore most seeds don't have it.
 FAULT_MIXES: tuple[FaultMix, ...] = (
     ((AttemptFault.BUSY, 8.0), (AttemptFault.RESET, 1.0)),
     ((AttemptFault.BUSY, 8.0), (AttemptFault.ERROR, 1.0)),
     ((AttemptFault.BUSY, 6.0), (AttemptFault.NO_CIRCUIT, 4.0), (AttemptFault.RESET, 1.0)),
     tuple((fault, 1.0) for fault in AttemptFault),
 )
-# Where no class may be sent again after an attempt that may have run.
-NO_CIRCUIT_ALONE: FaultMix = ((AttemptFault.NO_CIRCUIT, 1.0),)
-NO_CIRCUIT_SHARE = 0.3
+# Used if no class may be retried after an attempt that may have run.
+NO_CIRCUIT_ONLY: FaultMix = ((AttemptFault.NO_CIRCUIT, 1.0),)
+NO_CIRCUIT_FRACTION = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class Pressure:
-    """What makes calls need more than one attempt, and callers change their mind."""
+    """Faults that cause retries, and callers that abandon or release calls."""
 
-    faulty_attempts: float  # share of attempts
+    faulty_attempts: float  # fraction of attempts
     attempt_faults: FaultMix
-    drains: tuple[tuple[float, int, float], ...]  # (from, engine, for)
-    leave_early: float  # share of set-ups that their callers give up before their patience ends
-    hang_up: float  # share of established calls that their callers end
+    drains: tuple[tuple[float, int, float], ...]  # (start, engine, duration)
+    leave_early: float  # fraction of setups that callers abandon before their deadline
+    hang_up: float  # fraction of established calls that callers release
 
 
 @dataclass(frozen=True, slots=True)
 class CallClassPlan:
-    """One class of calls."""
+    """A call class."""
 
     name: str
-    aim: float  # ms
-    hard_limit: float  # ms
+    aim: float  # latency objective, ms
+    hard_limit: float  # deadline, ms
     idempotency: str
-    worth: float
+    worth: float  # priority weight
 
     @property
     def idempotent(self) -> bool:
-        """Whether an attempt may be repeated though one may have run."""
+        """Whether a call may be retried after an attempt that may have run."""
         return self.idempotency == "read_like"
 
-    def lane(self) -> dict[str, Any]:
-        """As the settings have it."""
+    def as_lane(self) -> dict[str, Any]:
+        """Returns the class in the form of the settings."""
         return {
             "name": self.name,
             "aim": self.aim,
@@ -105,17 +105,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Episode:
-    """A series of signals to one softswitch."""
+    """A series of signals to one softswitch, with its time."""
 
     at: float
     softswitch: int
     signals: Signals
-    gap: float  # s between the first signal, or the start, and the second
+    gap: float  # s from the first signal, or the start, to the second signal
 
 
 @dataclass(frozen=True, slots=True)
 class EngineEpisode:
-    """A fault of one engine."""
+    """A fault of one engine, with its time."""
 
     at: float
     engine: int
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Crowd:
-    """Connections that nobody wants, and set-ups all at once."""
+    """Many useless connections and many simultaneous setups."""
 
     at: float
     idle: int
@@ -135,13 +135,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One soak."""
+    """The plan of one soak."""
 
     seed: int
     seconds: float
     softswitches: int
     engines: int
-    rate: float  # calls a second, over all softswitches
+    rate: float  # calls per s, over all softswitches
     tick: float
     classes: tuple[CallClassPlan, ...]
     clear_wait: float
@@ -153,17 +153,17 @@
     memory_mb: int
     signals: tuple[Episode, ...]
     faults: tuple[EngineEpisode, ...]
-    silent_board: tuple[tuple[float, float], ...]  # (from, for)
+    silent_board: tuple[tuple[float, float], ...]  # (start, duration)
     crowds: tuple[Crowd, ...]
     pressure: Pressure
 
     def kill_after(self, replaced: bool) -> float:
-        """Seconds after SIGTERM at which SIGKILL comes: the page's earliest."""
-        counted = LONGEST_COUNTED_REPLACED if replaced else LONGEST_COUNTED
-        return min(counted, max(c.hard_limit for c in self.classes) / 1000) + STOP_ALLOWANCE
+        """Returns the time in s from SIGTERM to the earliest SIGKILL that the platform's rules allow."""
+        max_deadline = MAX_COUNTED_DEADLINE_REPLACED if replaced else MAX_COUNTED_DEADLINE
+        return min(max_deadline, max(c.hard_limit for c in self.classes) / 1000) + STOP_ALLOWANCE
 
     def settings(self) -> dict[str, Any]:
-        """The softswitches' settings, as the platform's configuration has them."""
+        """Returns the softswitches' settings in the form of the platform's configuration."""
         return {
             "family": "trunks",
             "fleet_size": self.softswitches,
@@ -174,7 +174,7 @@
                 "repeat": 500.0,
                 "holding": [2000.0] * len(self.classes),
             },
-            "lanes": [c.lane() for c in self.classes],
+            "lanes": [c.as_lane() for c in self.classes],
             "limits": {
                 "may_cancel": self.may_cancel,
                 "probes": self.probes,
@@ -188,15 +188,15 @@
         }
 
     def report(self) -> dict[str, Any]:
-        """All of it, for a JSON object."""
+        """Returns all fields for a JSON object."""
         return asdict(self)
 
 
 def generate_plan(seed: int, seconds: float) -> Plan:
-    """The plan of this seed."""
+    """Generates the plan of a seed."""
     rng = Random(f"soak {seed}")
     softswitches, engines = rng.randint(1, 3), rng.randint(2, 4)
-    classes = tuple(_draw_class(rng, n) for n in range(rng.randint(1, 3)))
+    classes = tuple(_generate_class(rng, n) for n in range(rng.randint(1, 3)))
     return Plan(
         seed=seed,
         seconds=seconds,
@@ -212,40 +212,42 @@
         retry_after=rng.random() < 0.7,
         descriptors=rng.choice((128, 256)),
         memory_mb=rng.choice((48, 64)),
-        signals=_draw_signals(rng, softswitches, seconds),
-        faults=_draw_faults(rng, engines, seconds),
-        silent_board=_draw_silences(rng, seconds),
-        crowds=_draw_crowds(rng, seconds),
-        pressure=_draw_pressure(Random(f"pressure {seed}"), classes, engines, seconds),
+        signals=_generate_signals(rng, softswitches, seconds),
+        faults=_generate_faults(rng, engines, seconds),
+        silent_board=_generate_silences(rng, seconds),
+        crowds=_generate_crowds(rng, seconds),
+        pressure=_generate_pressure(Random(f"pressure {seed}"), classes, engines, seconds),
     )
 
 
-def _draw_pressure(rng: Random, classes: tuple[CallClassPlan, ...], engines: int, seconds: float) -> Pressure:
-    """Drawn apart, so that the rest of a seed's plan is what it was before there was pressure."""
-    retried = any(c.idempotent for c in classes)
+def _generate_pressure(
+    rng: Random, classes: tuple[CallClassPlan, ...], engines: int, seconds: float
+) -> Pressure:
+    """Uses a generator of its own: adding `Pressure` left the rest of each seed's plan unchanged."""
+    has_retries = any(c.idempotent for c in classes)
     return Pressure(
-        faulty_attempts=rng.uniform(0.4, 0.6) if retried else NO_CIRCUIT_SHARE,
-        attempt_faults=rng.choice(FAULT_MIXES) if retried else NO_CIRCUIT_ALONE,
-        drains=_draw_drains(rng, engines, seconds),
+        faulty_attempts=rng.uniform(0.4, 0.6) if has_retries else NO_CIRCUIT_FRACTION,
+        attempt_faults=rng.choice(FAULT_MIXES) if has_retries else NO_CIRCUIT_ONLY,
+        drains=_generate_drains(rng, engines, seconds),
         leave_early=rng.uniform(0.0, 0.2),
         hang_up=rng.uniform(0.05, 0.3),
     )
 
 
-def _draw_drains(rng: Random, engines: int, seconds: float) -> tuple[tuple[float, int, float], ...]:
-    """One or two engines drain, at times together; others stay."""
+def _generate_drains(rng: Random, engines: int, seconds: float) -> tuple[tuple[float, int, float], ...]:
+    """Drains one or two engines, possibly at the same time. At least one engine stays."""
     drained = rng.sample(range(engines), min(engines - 1, rng.randint(1, 2)))
     return tuple((rng.uniform(1.0, seconds / 2), n, rng.uniform(*DRAIN_SECONDS)) for n in drained)
 
 
-def _draw_class(rng: Random, n: int) -> CallClassPlan:
+def _generate_class(rng: Random, n: int) -> CallClassPlan:
     hard_limit = rng.uniform(700.0, 5000.0)
     aim = hard_limit * rng.uniform(0.3, 0.9)
     return CallClassPlan(f"class-{n}", aim, hard_limit, rng.choice(IDEMPOTENCY), rng.uniform(0.5, 5.0))
 
 
-def _draw_signals(rng: Random, softswitches: int, seconds: float) -> tuple[Episode, ...]:
-    """The last one ends before the soak does."""
+def _generate_signals(rng: Random, softswitches: int, seconds: float) -> tuple[Episode, ...]:
+    """Generates series of signals, the last of which ends before the soak."""
     episodes = []
     for n in range(softswitches):
         at = FIRST_EPISODE + rng.uniform(0.0, EPISODE_GAP[0])
@@ -255,8 +257,8 @@
     return tuple(sorted(episodes, key=lambda e: e.at))
 
 
-def _draw_faults(rng: Random, engines: int, seconds: float) -> tuple[EngineEpisode, ...]:
-    """One engine is spared, or there would be nobody to serve."""
+def _generate_faults(rng: Random, engines: int, seconds: float) -> tuple[EngineEpisode, ...]:
+    """Spares the first engine, so that one is always available."""
     faults = []
     for n in range(1, engines):
         at = rng.uniform(1.0, 6.0)
@@ -267,13 +269,13 @@
     return tuple(sorted(faults, key=lambda f: f.at))
 
 
-def _draw_silences(rng: Random, seconds: float) -> tuple[tuple[float, float], ...]:
+def _generate_silences(rng: Random, seconds: float) -> tuple[tuple[float, float], ...]:
     if rng.random() < 0.5:
         return ()
     return ((rng.uniform(2.0, max(2.0, seconds - 8.0)), rng.uniform(1.0, 6.0)),)
 
 
-def _draw_crowds(rng: Random, seconds: float) -> tuple[Crowd, ...]:
+def _generate_crowds(rng: Random, seconds: float) -> tuple[Crowd, ...]:
     if rng.random() < 0.5:
         return ()
     at = rng.uniform(2.0, max(2.0, seconds - 4.0))
--- a/softswitch/standin/soak/planted.py
+++ b/softswitch/standin/soak/planted.py
@@ -1,8 +1,8 @@
-"""A softswitch with one fault planted in it, to show that the soak sees the fault.
+"""A softswitch with one injected fault, to show that the soak detects it.
 
     python -m softswitch.standin.soak.planted NAME
 
-starts the program with the planted fault NAME. Nothing of the running program loads this module.
+starts a softswitch with the fault NAME. A regular softswitch doesn't load this module.
 """
 
 from __future__ import annotations
@@ -28,37 +28,37 @@
 
 LATE_RELEASE = 2_500.0  # ms
 LATE_ANSWER = 6_000.0  # ms; longer than any deadline of a soak
-EVERY = 10  # one in so many calls or messages is spoilt
-LONGER_WAIT = 1_000.0  # ms
-LEAKED_BYTES = 1 << 20  # for each set-up in EVERY
+FAULT_PERIOD = 10  # a fault affects every tenth call or message
+EXTRA_TIME = 1_000.0  # ms
+LEAKED_BYTES = 1 << 20  # per setup
 EXIT_CODE = 3
 
-Plant = Callable[[], None]
-FAULTS: dict[str, Plant] = {}
+Fault = Callable[[], None]
+FAULTS: dict[str, Fault] = {}
 
 
-def plant(function: Plant) -> Plant:
-    """Adds a planted fault under the function's name."""
+def register_fault(function: Fault) -> Fault:
+    """Registers a fault under the function's name, with `-` for `_`."""
     FAULTS[function.__name__.replace("_", "-")] = function
     return function
 
 
-def _wrap(owner: Any, name: str, make: Callable[[Any], Any]) -> None:
-    setattr(owner, name, make(getattr(owner, name)))
+def _wrap(owner: Any, name: str, wrapper: Callable[[Any], Any]) -> None:
+    setattr(owner, name, wrapper(getattr(owner, name)))
 
 
-def _every() -> Callable[[], bool]:
-    """True at one call in EVERY."""
+def _every_nth() -> Callable[[], bool]:
+    """Returns a function that is true at every FAULT_PERIOD-th call."""
     calls = count(1)
-    return lambda: next(calls) % EVERY == 0
+    return lambda: next(calls) % FAULT_PERIOD == 0
 
 
-def _spoil(owner: Any, name: str, spoil: Callable[..., Any]) -> None:
-    """Has one call in EVERY of a method done by `spoil(old, *arguments)`."""
-    due, old = _every(), getattr(owner, name)
+def _replace_some(owner: Any, name: str, replacement: Callable[..., Any]) -> None:
+    """Replaces every FAULT_PERIOD-th call of a method by `replacement(old, *arguments)`."""
+    is_selected, old = _every_nth(), getattr(owner, name)
 
     def method(*arguments: Any) -> Any:
-        return spoil(old, *arguments) if due() else old(*arguments)
+        return replacement(old, *arguments) if is_selected() else old(*arguments)
 
     setattr(owner, name, method)
 
@@ -67,9 +67,9 @@
     _wrap(settings, "parse_settings", lambda parse: lambda info: change(parse(info)))
 
 
-@plant
+@register_fault
 def drain_taken_for_ready() -> None:
-    """Set-ups go on to an engine that drains."""
+    """The softswitch sends setups to a draining engine."""
 
     def ready(event: i.EndpointsChanged) -> i.EndpointsChanged:
         endpoints = tuple(
@@ -78,24 +78,24 @@
         )
         return replace(event, endpoints=endpoints)
 
-    _wrap(Switch, "endpoints_changed", lambda old: lambda me, event: old(me, ready(event)))
+    _wrap(Switch, "endpoints_changed", lambda old: lambda self, event: old(self, ready(event)))
 
 
-@plant
+@register_fault
 def one_attempt_more() -> None:
-    """Calls get one attempt more than the settings allow."""
+    """Calls have one attempt more than the settings allow."""
     _change_settings(lambda known: replace(known, max_attempts=known.max_attempts + 1))
 
 
-@plant
+@register_fault
 def no_quiet_time() -> None:
-    """Calls are sent again at once after a timeout, a reset or a cancel."""
+    """Calls are retried without delay after a timeout, a reset or a cancellation."""
     _change_settings(lambda known: replace(known, retry_delay=0.0))
 
 
-@plant
+@register_fault
 def repeats_what_may_have_run() -> None:
-    """Calls of every class are sent again, whatever may have run."""
+    """Calls of every class are retried, even if an attempt may have run."""
 
     def change(known: i.Settings) -> i.Settings:
         return replace(known, classes=tuple(replace(c, idempotent=True) for c in known.classes))
@@ -103,84 +103,84 @@
     _change_settings(change)
 
 
-@plant
+@register_fault
 def late_releases() -> None:
-    """Callers are told of the end of a call 2.5 s late."""
+    """Releases reach callers 2.5 s late."""
 
     def late(old: Any) -> Any:
-        def release(me: ReleaseSender, *words: Any) -> None:
-            me.switch.wheel.call_after(LATE_RELEASE, old, me, *words)
+        def release(self: ReleaseSender, *arguments: Any) -> None:
+            self.switch.wheel.call_after(LATE_RELEASE, old, self, *arguments)
 
         return release
 
     _wrap(ReleaseSender, "release", late)
 
 
-@plant
+@register_fault
 def lost_releases() -> None:
-    """Callers are never told of the end of one call in EVERY."""
-    _spoil(ReleaseSender, "release", lambda old, *arguments: None)
+    """The release of one call in FAULT_PERIOD is never sent to its caller."""
+    _replace_some(ReleaseSender, "release", lambda old, *arguments: None)
 
 
-@plant
+@register_fault
 def no_answer() -> None:
-    """One call in EVERY is never answered."""
-    _spoil(SipCalls, "_answer", lambda old, *arguments: None)
+    """One call in FAULT_PERIOD is never answered."""
+    _replace_some(SipCalls, "_answer", lambda old, *arguments: None)
 
 
-@plant
+@register_fault
 def late_answers() -> None:
-    """One call in EVERY is answered after its caller's patience."""
+    """One call in FAULT_PERIOD is answered after its deadline."""
 
-    def late(old: Any, me: SipCalls, *arguments: Any) -> None:
-        me.switch.wheel.call_after(LATE_ANSWER, old, me, *arguments)
+    def late(old: Any, self: SipCalls, *arguments: Any) -> None:
+        self.switch.wheel.call_after(LATE_ANSWER, old, self, *arguments)
 
-    _spoil(SipCalls, "_answer", late)
+    _replace_some(SipCalls, "_answer", late)
 
 
-@plant
+@register_fault
 def second_answers() -> None:
-    """One call in EVERY is answered twice."""
-    due = _every()
+    """One call in FAULT_PERIOD is answered twice."""
+    is_selected = _every_nth()
 
     def twice(old: Any) -> Any:
-        def answer(me: SipConnection, code: int, request: Any, *words: Any) -> None:
-            old(me, code, request, *words)
-            if code != 100 and request.start_line.startswith("INVITE") and due():
-                old(me, code, request, *words)
+        def answer(self: SipConnection, code: int, request: Any, *arguments: Any) -> None:
+            old(self, code, request, *arguments)
+            if code != 100 and request.start_line.startswith("INVITE") and is_selected():
+                old(self, code, request, *arguments)
 
         return answer
 
     _wrap(SipConnection, "answer", twice)
 
 
-@plant
+@register_fault
 def two_attempts_at_once() -> None:
-    """One attempt in EVERY goes to a second engine as well."""
-    due = _every()
+    """One attempt in FAULT_PERIOD goes to a second engine as well."""
+    is_selected = _every_nth()
 
     def hedged(old: Any) -> Any:
-        def send(me: EnginePool, server: str, call: Any) -> None:
-            old(me, server, call)
-            others = [name for name in me.links if name != server]
-            if due() and others:
-                old(me, others[0], call)
+        def send(self: EnginePool, server: str, call: Any) -> None:
+            old(self, server, call)
+            others = [name for name in self.links if name != server]
+            if is_selected() and others:
+                old(self, others[0], call)
 
         return send
 
     _wrap(EnginePool, "send_setup", hedged)
 
 
-@plant
+@register_fault
 def longer_deadline() -> None:
-    """Engines are told a longer wait than the caller has."""
+    """Setups carry more time than the caller has left."""
     old = engine_link.encode_setup
-    engine_link.encode_setup = lambda call, now: old(call, now - LONGER_WAIT)
+    engine_link.encode_setup = lambda call, now: old(call, now - EXTRA_TIME)
 
 
-@plant
+@register_fault
 def changed_description() -> None:
-    """Descriptions are cut on their way to engines."""
+    """Descriptions are changed on their way to engines."""
 
     def cut(old: Any) -> Any:
         def encode(call: Any, now: float) -> bytes:
@@ -195,83 +195,83 @@
     _wrap(engine_link, "encode_setup", cut)
 
 
-@plant
+@register_fault
 def sends_for_callers_that_left() -> None:
-    """A caller's CANCEL is answered, and its call goes on."""
+    """A caller's CANCEL is answered, but its call continues."""
 
     def deaf(old: Any) -> Any:
-        def abandon(me: Switch, call: str, by: Any) -> bool:
-            known = me.calls.get(call)
-            return True if known is not None and not known.established else bool(old(me, call, by))
+        def abandon(self: Switch, call: str, by: Any) -> bool:
+            known = self.calls.get(call)
+            return True if known is not None and not known.established else bool(old(self, call, by))
 
         return abandon
 
     _wrap(Switch, "abandon_call", deaf)
 
 
-@plant
+@register_fault
 def callers_release_kept() -> None:
-    """A caller's BYE is answered and not passed on to its engine."""
+    """A caller's BYE is answered, but not forwarded to the engine."""
 
     def keep(old: Any) -> Any:
-        def send(me: EnginePool, server: str, call: str, cause: int) -> None:
-            """Nothing goes out."""
+        def send(self: EnginePool, server: str, call: str, cause: int) -> None:
+            """Sends nothing."""
 
         return send
 
     _wrap(EnginePool, "send_release", keep)
 
 
-@plant
+@register_fault
 def lets_calls_go_at_sigterm() -> None:
-    """What is open at SIGTERM is dropped with its connection."""
+    """Connections are aborted at SIGTERM, and their pending calls with them."""
 
     def drop(old: Any) -> Any:
-        def begin(me: Shutdown) -> None:
-            for connection in me.sip.connections:
+        def begin(self: Shutdown) -> None:
+            for connection in self.sip.connections:
                 connection.transport.abortConnection()
-            old(me)
+            old(self)
 
         return begin
 
     _wrap(Shutdown, "begin", drop)
 
 
-@plant
+@register_fault
 def ends_with_an_error() -> None:
-    """A planned stop ends with another code than 0."""
-    _wrap(Shutdown, "begin", lambda old: lambda me: (old(me), os._exit(EXIT_CODE)))
+    """A shutdown ends with an exit status other than 0."""
+    _wrap(Shutdown, "begin", lambda old: lambda self: (old(self), os._exit(EXIT_CODE)))
 
 
-@plant
+@register_fault
 def never_ready() -> None:
-    """The process never says that it takes callers."""
-    Lifecycle.ready = property(lambda me: False)  # type: ignore[assignment, method-assign]
+    """The process never reports that it is ready."""
+    Lifecycle.ready = property(lambda self: False)  # type: ignore[assignment, method-assign]
 
 
-@plant
+@register_fault
 def leaks_memory() -> None:
-    """Memory grows with each set-up."""
-    kept: list[bytearray] = []
+    """Memory grows with each setup."""
+    leaked: list[bytearray] = []
 
     def leak(old: Any) -> Any:
-        def accept(me: Switch, *words: Any) -> Any:
-            kept.append(bytearray(LEAKED_BYTES))
-            return old(me, *words)
+        def accept(self: Switch, *arguments: Any) -> Any:
+            leaked.append(bytearray(LEAKED_BYTES))
+            return old(self, *arguments)
 
         return accept
 
     _wrap(Switch, "accept_call", leak)
 
 
-@plant
+@register_fault
 def leaks_descriptors() -> None:
-    """Descriptors grow with each set-up."""
+    """The number of open descriptors grows with each setup."""
 
     def leak(old: Any) -> Any:
-        def accept(me: Switch, *words: Any) -> Any:
+        def accept(self: Switch, *arguments: Any) -> Any:
             os.dup(0)
-            return old(me, *words)
+            return old(self, *arguments)
 
         return accept
 
@@ -279,9 +279,9 @@
 
 
 def main(name: str) -> None:
-    """Plants the fault and becomes the program."""
+    """Injects the fault and runs the softswitch."""
     if name not in FAULTS:
-        raise SystemExit(f"no such planted fault: {name}; one of {', '.join(FAULTS)}")
+        raise SystemExit(f"unknown fault {name}; choose one of {', '.join(FAULTS)}")
     FAULTS[name]()
     sys.argv = ["softswitch"]
     runpy.run_module("softswitch", run_name="__main__")
--- a/softswitch/standin/soak/run.py
+++ b/softswitch/standin/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one soak: processes, signals, faults and callers by the plan, until the time is over."""
+"""Runs one soak: processes, signals, faults and callers according to a plan."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from typing import Any
 
 import orjson
-from twisted.internet import reactor as installed
+from twisted.internet import reactor as installed_reactor
 from twisted.internet.defer import Deferred, ensureDeferred
 from twisted.internet.protocol import ClientFactory
 from twisted.internet.task import deferLater
@@ -31,25 +31,30 @@
 from softswitch.standin.soak.plan import Crowd, EngineEpisode, EngineFault, Episode, Plan, Signals
 from softswitch.standin.soak.world import CrowdConnection, LagMeter, SoakCallers, SoakEngine, SoakWatchServer
 
-SIP_PORT, MGMT_PORT = 5_060, 15_000  # at an address of its own; each process has a management port more
-FIRST_ADVICE = 2_000.0  # ms that rejected callers are told to stay away
-HOLD = 2.0  # s that a call stands on average
-STATE_EVERY = 0.06  # s between two states of an engine: no circuit is free for no longer than that
-SETUP_WORK = 0.002  # s of an engine's processor
-READY_WITHIN = 10.0  # s for a process that starts
-REPLACED_WITHIN = 6.0  # s for one that replaces another
-POLL = 0.05  # s between two looks at whether a process is ready, or has ended
-SAMPLE = 0.5  # s between two looks at descriptors and memory
-JUST_NOW = 0.5  # s in which the end of a connection is told to be that of a killed process
-LAST_ANSWERS = 1.0  # s beyond the longest deadline until what is open is judged
-OWN_DESCRIPTORS = 300  # that the stand-ins keep besides a crowd
-HALF_MESSAGE = b"INVITE sip:77@net SIP/2.0\r\nCall-ID: "
-ENDED_IN_START = (0, -signal.SIGTERM)  # before the program has a handler, the signal itself ends it
+SIP_PORT, MGMT_PORT = (
+    5_060,
+    15_000,
+)  # each softswitch has its own address, each of its processes the next management port
+INITIAL_RETRY_AFTER = 2_000.0  # ms; the longest delay that rejected callers are asked to wait
+HOLD = 2.0  # s; mean holding time
+STATE_INTERVAL = (
+    0.06  # s between load reports, the first of which ends the effect of a rejection for lack of circuits
+)
+SETUP_WORK = 0.002  # s; an engine's processor time per setup
+READY_TIMEOUT = 10.0  # s, for the first process or a restart
+REPLACEMENT_TIMEOUT = 6.0  # s, for a process that replaces another
+POLL_INTERVAL = 0.05  # s between two checks whether a process is ready or has ended
+SAMPLE_INTERVAL = 0.5  # s between two samples of descriptors and memory
+KILL_WINDOW = 0.5  # s after SIGKILL in which a closed connection is attributed to it
+FINAL_ANSWERS_DELAY = 1.0  # s after the longest deadline until the processes are stopped
+RESERVED_DESCRIPTORS = 300  # of this process, not available to a crowd
+PARTIAL_MESSAGE = b"INVITE sip:77@net SIP/2.0\r\nCall-ID: "
+EARLY_EXIT_STATUSES = (0, -signal.SIGTERM)  # SIGTERM kills a process without a handler
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a soak showed."""
+    """Counters and violations of a soak."""
 
     plan: Plan
     calls: int
@@ -61,33 +66,35 @@
     releases: int
     signals: dict[str, int]
     processes: int
-    stand_in_lag: float  # s, the most seen
-    judged: dict[str, int]  # how often each rule was looked at
-    excused: dict[str, int]  # of these, with more allowed than usual
+    stand_in_lag: float  # s; max
+    judged: dict[str, int]  # how often each rule was checked
+    excused: dict[str, int]  # how many of these checks were exempt or had a wider limit
     broken: tuple[RuleViolation, ...]
 
     def report(self) -> dict[str, Any]:
-        """All of it, for a JSON object."""
+        """Returns all fields for a JSON object."""
         return asdict(self)
 
 
 class Process:
-    """One process of a softswitch."""
+    """A process of a softswitch."""
 
-    def __init__(self, name: str, program: subprocess.Popen[bytes], mgmt: tuple[str, int]) -> None:
+    def __init__(
+        self, name: str, program: subprocess.Popen[bytes], management_address: tuple[str, int]
+    ) -> None:
         self.name = name
         self.program = program
-        self.mgmt = mgmt
+        self.management_address = management_address
         self.stopping = False
         self.killed_at: float | None = None
 
     @property
     def running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process has not ended."""
         return self.program.poll() is None
 
     def usage(self) -> tuple[int, float] | None:
-        """Descriptors and MB of memory; None if it has ended."""
+        """Returns the open descriptors and the memory in MB, or None if the process has ended."""
         folder = Path(f"/proc/{self.program.pid}")
         try:
             pages = int((folder / "statm").read_text().split()[1])
@@ -97,18 +104,19 @@
 
 
 class Member:
-    """One softswitch: its processes, one after the other, with callers, engines and a board of its own.
+    """One softswitch: its successive processes, with its own callers, engines and watch server.
 
-    A quote engine knows whose call it ends; stand-ins that several softswitches share would not.
+    Engines are not shared: a real engine knows which softswitch has the call that it releases; a stand-in
+    does not.
     """
 
-    def __init__(self, soak: Soak, n: int, host: str) -> None:
+    def __init__(self, soak: Soak, index: int, host: str) -> None:
         self.soak = soak
-        self.n = n
+        self.index = index
         self.host = host
-        self.name = f"n{n}"
+        self.name = f"n{index}"
         self.address = (host, SIP_PORT)
-        self.engines = [self._engine(k) for k in range(soak.plan.engines)]
+        self.engines = [self._make_engine(k) for k in range(soak.plan.engines)]
         listed = [ListedEngine(e.settings.name, e.listen(host), e.settings.cell) for e in self.engines]
         self.watch_server = SoakWatchServer(soak.reactor, listed)
         self.watch_server_address = self.watch_server.listen(host)
@@ -116,12 +124,12 @@
         self.folder.mkdir()
         self.config = self.folder / "config.json"
         self.processes: list[Process] = []
-        self.advice = FIRST_ADVICE
-        self.serving = ""  # the process that takes new connections
+        self.max_retry_after = INITIAL_RETRY_AFTER
+        self.serving = ""  # the process that accepts new connections
         self.callers = SoakCallers(
             soak.reactor,
             self.address,
-            soak.plan.seed * 65537 + n,
+            soak.plan.seed * 65537 + index,
             soak.checker,
             soak.lag,
             lambda: self.serving,
@@ -129,12 +137,12 @@
             soak.plan.pressure,
         )
 
-    def _engine(self, k: int) -> SoakEngine:
+    def _make_engine(self, k: int) -> SoakEngine:
         plan = self.soak.plan
-        number = self.n * plan.engines + k
+        number = self.index * plan.engines + k
         hold = {c.name: HOLD for c in plan.classes}
         settings = EngineSettings(
-            f"s-{number + 1:08x}", k, 500, hold=hold, work=SETUP_WORK, state_interval=STATE_EVERY
+            f"s-{number + 1:08x}", k, 500, hold=hold, work=SETUP_WORK, state_interval=STATE_INTERVAL
         )
         seed = plan.seed * 7919 + number
         return SoakEngine(
@@ -143,36 +151,36 @@
 
     def _killed_just_now(self) -> bool:
         times = [p.killed_at for p in self.processes if p.killed_at is not None]
-        return bool(times) and self.soak.now() - max(times) < JUST_NOW
+        return bool(times) and self.soak.now() - max(times) < KILL_WINDOW
 
     def note(self, event: str) -> None:
-        """An event of this softswitch, for the report of a broken rule."""
+        """Notes an event of this softswitch for the report of a violation."""
         self.soak.checker.timeline.note(self.soak.now(), self.name, event)
 
-    def write_config(self, advice: float = FIRST_ADVICE) -> None:
-        """The configuration, with another advice to callers where it changes."""
-        self.advice = advice
+    def write_config(self, max_retry_after: float = INITIAL_RETRY_AFTER) -> None:
+        """Writes the configuration; `max_retry_after` is the value that reloads change."""
+        self.max_retry_after = max_retry_after
         plan = self.soak.plan
         settings = plan.settings()
-        settings["limits"]["max_retry_after"] = advice
-        made = {
+        settings["limits"]["max_retry_after"] = max_retry_after
+        configuration = {
             "name": self.name,
             "listen": "{}:{}".format(*self.address),
-            "seed": f"{plan.seed * 31 + self.n:016x}",
+            "seed": f"{plan.seed * 31 + self.index:016x}",
             "limits": {"cores": 1.0, "memory_mb": plan.memory_mb, "sockets": plan.descriptors},
             "board": "{}:{}".format(*self.watch_server_address),
             "known": self.watch_server.known(),
             "settings": settings,
         }
-        self.config.write_bytes(orjson.dumps(made))
+        self.config.write_bytes(orjson.dumps(configuration))
 
     def start(self) -> Process:
-        """Starts a process, with the list of engines of this moment."""
-        self.write_config(self.advice)
-        mgmt = (self.host, MGMT_PORT + len(self.processes))
+        """Starts a process with the present list of engines."""
+        self.write_config(self.max_retry_after)
+        management_address = (self.host, MGMT_PORT + len(self.processes))
         env = os.environ | {
             "BALANCER_CONFIG": str(self.config),
-            "BALANCER_MGMT": "{}:{}".format(*mgmt),
+            "BALANCER_MGMT": "{}:{}".format(*management_address),
             "TMPDIR": str(self.folder),
         }
         env = environment.without(env, environment.OPERATOR_FILE)
@@ -185,49 +193,50 @@
                 stderr=log,
                 stdin=subprocess.DEVNULL,
             )
-        process = Process(f"{self.name}.{len(self.processes)}", program, mgmt)
+        process = Process(f"{self.name}.{len(self.processes)}", program, management_address)
         self.processes.append(process)
         self.note(f"{process.name} started")
         replaces = any(p.running for p in self.processes[:-1])
         self.soak.checker.surroundings_of(self.name).process_started(self.soak.now(), process.name, replaces)
         return process
 
-    async def until_ready(self, process: Process, within: float) -> bool:
-        """Whether it says in time that it is ready."""
+    async def wait_until_ready(self, process: Process, within: float) -> bool:
+        """Returns whether the process reports that it is ready in time."""
         until = self.soak.now() + within
         while self.soak.now() < until and process.running:
-            if await self.soak.ask(process, "GET /v1/readyz") == HTTP_OK:
+            if await self.soak.request(process, "GET /v1/readyz") == HTTP_OK:
                 self.serving = process.name
                 self.note(f"{process.name} ready")
                 self.soak.checker.surroundings_of(self.name).process_ready(self.soak.now(), process.name)
                 return True
-            await self.soak.sleep(POLL)
+            await self.soak.sleep(POLL_INTERVAL)
         self.soak.checker.process_not_ready(self.soak.now(), process.name, within)
         return False
 
     async def stop(
         self,
         process: Process,
-        second_after: float | None = None,
+        second_signal_after: float | None = None,
         early: bool = False,
         replaced: bool = False,
     ) -> None:
-        """SIGTERM, once more after a while if that is given, and SIGKILL at the page's earliest.
+        """Sends SIGTERM, and SIGKILL at the earliest time that the platform's rules allow.
 
-        `early`: it may not have got as far as to handle a signal. `replaced`: another has taken over.
+        `second_signal_after`: s until a second SIGTERM. `early`: the process may not have a signal handler
+        yet. `replaced`: another process has taken over.
         """
         soak = self.soak
         process.stopping = True
         soak.checker.stop_requested(soak.now(), process.name)
-        asked = soak.now()
+        requested_at = soak.now()
         self.note(f"{process.name} SIGTERM")
         process.program.send_signal(signal.SIGTERM)
-        if second_after is not None:
-            await soak.sleep(second_after)
+        if second_signal_after is not None:
+            await soak.sleep(second_signal_after)
             if process.running:
                 process.program.send_signal(signal.SIGTERM)
-        while process.running and soak.now() - asked < soak.plan.kill_after(replaced):
-            await soak.sleep(POLL)
+        while process.running and soak.now() - requested_at < soak.plan.kill_after(replaced):
+            await soak.sleep(POLL_INTERVAL)
         if process.running:
             process.killed_at = soak.now()
             process.program.kill()
@@ -235,15 +244,15 @@
             return
         self.note(f"{process.name} ended")
         code = process.program.returncode
-        if not (early and code in ENDED_IN_START):
+        if not (early and code in EARLY_EXIT_STATUSES):
             soak.checker.process_exited(soak.now(), process.name, code)
 
-    async def start_again(self) -> None:
-        """Starts a process where the one before has ended."""
-        await self.until_ready(self.start(), READY_WITHIN)
+    async def restart(self) -> None:
+        """Starts a process after the previous one has ended."""
+        await self.wait_until_ready(self.start(), READY_TIMEOUT)
 
-    async def play(self, episode: Episode) -> None:
-        """Sends a series of signals."""
+    async def run_signals(self, episode: Episode) -> None:
+        """Sends a series of signals to the present process."""
         process = self.processes[-1]
         if not process.running:
             return
@@ -260,10 +269,10 @@
             started = self.start()
             await self.soak.sleep(episode.gap)
             await self.stop(started, early=True)
-        await self.start_again()
+        await self.restart()
 
     async def _reload(self, process: Process, episode: Episode) -> None:
-        self.write_config(advice=1000.0 + 1000.0 * episode.gap)
+        self.write_config(max_retry_after=1000.0 + 1000.0 * episode.gap)
         process.program.send_signal(signal.SIGHUP)
         await self.soak.sleep(episode.gap / 10)
         if episode.signals is Signals.RELOAD_TWICE:
@@ -271,12 +280,12 @@
 
     async def _replace(self, old: Process, drained: bool) -> None:
         if drained:
-            await self.soak.ask(old, "POST /v1/softswitch/drain")
-        taken_over = await self.until_ready(self.start(), REPLACED_WITHIN)
+            await self.soak.request(old, "POST /v1/softswitch/drain")
+        taken_over = await self.wait_until_ready(self.start(), REPLACEMENT_TIMEOUT)
         await self.stop(old, replaced=taken_over)
 
-    async def play_fault(self, fault: EngineEpisode) -> None:
-        """Has an engine do what the plan says."""
+    async def run_fault(self, fault: EngineEpisode) -> None:
+        """Runs an engine fault of the plan."""
         engine = self.engines[fault.engine]
         if fault.fault is EngineFault.RESET:
             engine.reset_connections()
@@ -285,14 +294,14 @@
             self.note(f"{engine.settings.name} hangs")
             await self.soak.sleep(fault.seconds)
             engine.hung = False
-            self.note(f"{engine.settings.name} goes on")
+            self.note(f"{engine.settings.name} resumes")
         else:
             await self._drain(engine, fault.seconds)
 
-    async def play_drain(self, drain: tuple[float, int, float]) -> None:
-        """Drains an engine, unless it drains already."""
-        _, n, seconds = drain
-        await self._drain(self.engines[n], seconds)
+    async def run_drain(self, drain: tuple[float, int, float]) -> None:
+        """Drains an engine, unless it is draining already."""
+        _, index, seconds = drain
+        await self._drain(self.engines[index], seconds)
 
     async def _drain(self, engine: SoakEngine, seconds: float) -> None:
         if engine.settings.name in self.soak.checker.drained_at:
@@ -309,7 +318,7 @@
         self.watch_server.change_health(engine, "active", born_ms=int(time() * 1000))
 
     async def silence_watch_server(self, seconds: float) -> None:
-        """The board stays connected and says nothing."""
+        """Silences the watch server for a time. Connections stay open."""
         self.watch_server.go_silent()
         now = self.soak.now()
         self.soak.checker.watch_server_silent(now, now + seconds, self.name)
@@ -318,44 +327,44 @@
 
 
 class Soak:
-    """Owner of everything that one soak starts."""
+    """Runs one soak and owns everything that it starts."""
 
-    def __init__(self, plan: Plan, plant: str = "") -> None:
+    def __init__(self, plan: Plan, fault: str = "") -> None:
         self.plan = plan
-        self.plant = plant  # a fault that is planted in the softswitches
-        self.reactor: Any = installed
+        self.fault = fault  # name of a fault to inject into the softswitches
+        self.reactor: Any = installed_reactor
         self.dir = tempfile.TemporaryDirectory(prefix="soak-")
         self.checker = Checker(plan.clear_wait / 1000, plan.max_attempts)
         self.lag = LagMeter(self.reactor)
-        self.most_lag = 0.0
+        self.max_lag = 0.0
         self.signals: Counter[str] = Counter()
-        self.draws = Random(f"calls {plan.seed}")
-        self.crowd: list[CrowdConnection] = []
+        self.rng = Random(f"calls {plan.seed}")
+        self.crowd_connections: list[CrowdConnection] = []
         self.members: list[Member] = []
         self.error: BaseException | None = None
-        self.over = False
+        self.finished = False
 
     def module(self) -> tuple[str, ...]:
-        """What a softswitch is started as."""
-        return ("softswitch.standin.soak.planted", self.plant) if self.plant else ("softswitch",)
+        """Returns the Python module, with arguments, that runs a softswitch."""
+        return ("softswitch.standin.soak.planted", self.fault) if self.fault else ("softswitch",)
 
     def now(self) -> float:
-        """Seconds, of the stand-ins' clock."""
+        """Returns the time in seconds, by the reactor's clock."""
         return float(self.reactor.seconds())
 
     def sleep(self, seconds: float) -> Deferred[None]:
-        """To be awaited."""
+        """Returns an awaitable delay."""
         return deferLater(self.reactor, seconds, lambda: None)
 
-    def ask(self, process: Process, request: str) -> Deferred[int]:
-        """The status of the answer to a management call; 0 if none comes."""
+    def request(self, process: Process, request: str) -> Deferred[int]:
+        """Sends a management request. Returns the status of the response, 0 if there is none."""
         answer: Deferred[int] = Deferred()
         query = Query(request, lambda status, _: answer.callback(status))
-        self.reactor.connectTCP(*process.mgmt, query, timeout=1.0)
+        self.reactor.connectTCP(*process.management_address, query, timeout=1.0)
         return answer
 
     def run(self) -> Outcome:
-        """Blocks until the soak is over and all that was started has ended."""
+        """Blocks until the soak is over and all processes have ended."""
         self.reactor.callWhenRunning(self._begin)
         try:
             self.reactor.run(installSignalHandlers=False)
@@ -370,14 +379,14 @@
         return self._outcome()
 
     def _begin(self) -> None:
-        played = ensureDeferred(self._play())
-        played.addErrback(self._failed)
-        played.addBoth(lambda _: self.reactor.stop())
+        finished = ensureDeferred(self._run())
+        finished.addErrback(self._failed)
+        finished.addBoth(lambda _: self.reactor.stop())
 
     def _failed(self, failure: Any) -> None:
         self.error = failure.value
 
-    async def _play(self) -> None:
+    async def _run(self) -> None:
         self.lag.start()
         hosts = own_hosts(self.plan.softswitches)
         self.members = [Member(self, n, host) for n, host in enumerate(hosts)]
@@ -385,34 +394,34 @@
             member.write_config()
             member.start()
         for member in self.members:
-            await member.until_ready(member.processes[0], READY_WITHIN)
+            await member.wait_until_ready(member.processes[0], READY_TIMEOUT)
             member.callers.connect()
         self.began = self.now()
         self._schedule()
-        self._call()
-        self._sample()
+        self._place_next_call()
+        self._sample_processes()
         await self.sleep(self.plan.seconds)
-        self.over = True
-        await self.sleep(max(c.hard_limit for c in self.plan.classes) / 1000 + LAST_ANSWERS)
+        self.finished = True
+        await self.sleep(max(c.hard_limit for c in self.plan.classes) / 1000 + FINAL_ANSWERS_DELAY)
         for member in self.members:
             for process in member.processes:
                 if process.running and not process.stopping:
                     await member.stop(process)
-        self._end()
-        await self.sleep(POLL)
+        self._close()
+        await self.sleep(POLL_INTERVAL)
 
     def _schedule(self) -> None:
         for episode in self.plan.signals:
-            self._start_at(episode.at, self.members[episode.softswitch].play, episode)
+            self._start_at(episode.at, self.members[episode.softswitch].run_signals, episode)
         for member in self.members:
             for fault in self.plan.faults:
-                self._start_at(fault.at, member.play_fault, fault)
+                self._start_at(fault.at, member.run_fault, fault)
             for drain in self.plan.pressure.drains:
-                self._start_at(drain[0], member.play_drain, drain)
+                self._start_at(drain[0], member.run_drain, drain)
             for at, seconds in self.plan.silent_board:
                 self._start_at(at, member.silence_watch_server, seconds)
         for crowd in self.plan.crowds:
-            self.reactor.callLater(crowd.at, self._gather, crowd)
+            self.reactor.callLater(crowd.at, self._open_crowd, crowd)
 
     def _start_at(self, at: float, action: Any, what: Any) -> None:
         def begin() -> None:
@@ -420,31 +429,31 @@
 
         self.reactor.callLater(at, begin)
 
-    def _gather(self, crowd: Crowd) -> None:
-        """Connections that nobody wants, as many as the stand-ins may open, and set-ups all at once."""
-        room = max(0, resource.getrlimit(resource.RLIMIT_NOFILE)[0] - OWN_DESCRIPTORS)
+    def _open_crowd(self, crowd: Crowd) -> None:
+        """Opens a crowd's connections, as far as descriptors allow, and places its setups at once."""
+        available = max(0, resource.getrlimit(resource.RLIMIT_NOFILE)[0] - RESERVED_DESCRIPTORS)
         member = self.members[0]
-        for n in range(min(room, crowd.idle + crowd.half_written)):
-            first_bytes = HALF_MESSAGE if n < crowd.half_written else b""
+        for n in range(min(available, crowd.idle + crowd.half_written)):
+            first_bytes = PARTIAL_MESSAGE if n < crowd.half_written else b""
             self.reactor.connectTCP(*member.address, CrowdFactory(self, first_bytes), timeout=2.0)
         for _ in range(crowd.setups):
-            self._place(member)
+            self._place_call(member)
 
-    def _call(self) -> None:
-        """Places the next call."""
-        if self.over:
+    def _place_next_call(self) -> None:
+        """Places a call and schedules the next one."""
+        if self.finished:
             return
-        self._place(self.draws.choice(self.members))
-        self.reactor.callLater(self.draws.expovariate(self.plan.rate), self._call)
+        self._place_call(self.rng.choice(self.members))
+        self.reactor.callLater(self.rng.expovariate(self.plan.rate), self._place_next_call)
 
-    def _place(self, member: Member) -> None:
-        call_class = self.draws.choice(self.plan.classes)
-        patience = self.draws.uniform(0.3, call_class.hard_limit / 1000)
-        member.callers.place_call(call_class, self.draws.randrange(self.plan.engines), patience)
+    def _place_call(self, member: Member) -> None:
+        call_class = self.rng.choice(self.plan.classes)
+        patience = self.rng.uniform(0.3, call_class.hard_limit / 1000)
+        member.callers.place_call(call_class, self.rng.randrange(self.plan.engines), patience)
 
-    def _sample(self) -> None:
+    def _sample_processes(self) -> None:
         limits = Limits(self.plan.descriptors, self.plan.memory_mb)
-        self.most_lag = max(self.most_lag, self.lag.lag)
+        self.max_lag = max(self.max_lag, self.lag.lag)
         self.checker.advance(self.now(), self.lag.lag)
         for process in (p for m in self.members for p in m.processes):
             usage = process.usage() if process.running else None
@@ -453,11 +462,11 @@
             elif not process.running and not process.stopping:
                 process.stopping = True
                 self.checker.process_exited(self.now(), process.name, process.program.returncode or 1)
-        self.reactor.callLater(SAMPLE, self._sample)
+        self.reactor.callLater(SAMPLE_INTERVAL, self._sample_processes)
 
-    def _end(self) -> None:
+    def _close(self) -> None:
         self.checker.advance(self.now(), self.lag.lag)
-        for connection in self.crowd:
+        for connection in self.crowd_connections:
             connection.transport.abortConnection()
         for member in self.members:
             member.callers.stop()
@@ -478,7 +487,7 @@
             checker.releases,
             dict(self.signals),
             sum(len(m.processes) for m in self.members),
-            self.most_lag,
+            self.max_lag,
             {rule.name: checker.checked[rule] for rule in Rule},
             {rule.name: checker.exempt[rule] for rule in Rule if checker.exempt[rule]},
             tuple(checker.violations),
@@ -486,7 +495,7 @@
 
 
 class CrowdFactory(ClientFactory):
-    """One connection of a crowd."""
+    """Opens one connection of a crowd."""
 
     noisy = False
 
@@ -495,7 +504,7 @@
         self.first_bytes = first_bytes
 
     def buildProtocol(self, addr: object) -> CrowdConnection:
-        """Called by Twisted."""
+        """Called by Twisted when the connection is open."""
         connection = CrowdConnection(self.first_bytes)
-        self.soak.crowd.append(connection)
+        self.soak.crowd_connections.append(connection)
         return connection
--- a/softswitch/standin/soak/world.py
+++ b/softswitch/standin/soak/world.py
@@ -1,4 +1,4 @@
-"""Stand-ins of a soak: they report to the checker what they see, and have the faults of the plan."""
+"""Stand-ins of a soak: they produce the plan's faults and report events to the checker."""
 
 from __future__ import annotations
 
@@ -18,45 +18,45 @@
 from softswitch.standin.soak.timeline import softswitch_of
 from softswitch.standin.traffic import StreamSettings
 
-LAG_EVERY = 0.01  # s between two looks at the clock
-LAG_KEPT = 100  # looks: a second of them
-PROCESSOR_WAIT = 19  # parameter: ms that a full processor asks to be left alone
-FULL_FOR = (300.0, 1_500.0)  # ms
-FAULT_ANSWERS = {  # the cause and the note of a release
+LAG_INTERVAL = 0.01  # s between two samples of the clock
+LAG_SAMPLES = 100  # the samples of one second
+RETRY_AFTER = 19  # message parameter: ms for which an overloaded engine asks for no new setups
+RETRY_AFTER_RANGE = (300.0, 1_500.0)  # ms
+FAULT_RELEASES = {  # cause and note of the release that rejects the attempt
     AttemptFault.FULL: (34, b"cpu_full"),
     AttemptFault.NO_CIRCUIT: (34, b"all_trunks_busy"),
     AttemptFault.ERROR: (47, b""),
     AttemptFault.BUSY: (17, b"number_busy"),
     AttemptFault.RESET: (41, b""),
 }
-SOON = 0.06  # s
-NUMBERS = 1_000  # called; a number that was busy is rarely called again soon
-HUNG_CALL_RETRY = 0.2  # s until a hung engine's call is tried again to be ended
+SHORT_DELAY = 0.06  # s; most calls are answered within a similar time
+NUMBERS = 1_000  # distinct called numbers, so that a busy number is rarely called again soon
+HUNG_CALL_RETRY = 0.2  # s until a hung engine tries again to end a call
 
 
 class LagMeter:
-    """How late the stand-ins read what comes: the longest turn of their event loop in the last second."""
+    """Measures how late the stand-ins read events: the longest event loop iteration of the last second."""
 
     def __init__(self, reactor: Any) -> None:
         self.reactor = reactor
-        self._late: deque[float] = deque(maxlen=LAG_KEPT)
-        self._due = 0.0
+        self._delays: deque[float] = deque(maxlen=LAG_SAMPLES)
+        self._next_due = 0.0
 
     def start(self) -> None:
-        """Looks from now on."""
-        self._due = self.reactor.seconds() + LAG_EVERY
-        self.reactor.callLater(LAG_EVERY, self._look)
+        """Samples the clock periodically from now on."""
+        self._next_due = self.reactor.seconds() + LAG_INTERVAL
+        self.reactor.callLater(LAG_INTERVAL, self._sample)
 
-    def _look(self) -> None:
-        self._late.append(max(0.0, self.reactor.seconds() - self._due))
+    def _sample(self) -> None:
+        self._delays.append(max(0.0, self.reactor.seconds() - self._next_due))
         self.start()
 
     @property
     def lag(self) -> float:
-        """Seconds."""
-        now_late: float = max(0.0, self.reactor.seconds() - self._due)
-        longest: float = max(self._late, default=0.0)
-        return LAG_EVERY + max(now_late, longest)
+        """The present lag in seconds."""
+        current_delay: float = max(0.0, self.reactor.seconds() - self._next_due)
+        max_delay: float = max(self._delays, default=0.0)
+        return LAG_INTERVAL + max(current_delay, max_delay)
 
 
 def _port(connection: EngineConnection) -> int:
@@ -65,7 +65,7 @@
 
 
 class SoakEngine(Engine):
-    """An engine that hangs, resets and reports."""
+    """An engine that can hang, reset connections and spoil attempts, and reports to the checker."""
 
     def __init__(
         self,
@@ -79,40 +79,42 @@
     ) -> None:
         super().__init__(reactor, settings, seed)
         self.pressure = pressure
-        self.draws = Random(f"attempts {seed}")
-        self.softswitch = softswitch  # that it serves
+        self.rng = Random(f"attempts {seed}")
+        self.softswitch = softswitch  # the softswitch that it serves
         self.checker = checker
         self.lag = lag
         self.hung = False
-        self.attempts: dict[str, EngineConnection] = {}  # that are out, by call
-        self.written_releases: dict[str, int] = {}  # since a connection was opened last: call, cause
+        self.attempts: dict[str, EngineConnection] = {}  # in flight, by call
+        self.written_releases: dict[str, int] = {}  # call -> cause, since the last connection was opened
 
-    def _attempt_over(
-        self, call: str, what: str, may_have_run: bool = True, needs_retry_delay: bool = True
+    def _attempt_ended(
+        self, call: str, outcome: str, may_have_run: bool = True, needs_retry_delay: bool = True
     ) -> None:
         if self.attempts.pop(call, None) is not None:
             now = self.reactor.seconds()
-            self.checker.attempt_ended(now, call, self.settings.name, what, may_have_run, needs_retry_delay)
+            self.checker.attempt_ended(
+                now, call, self.settings.name, outcome, may_have_run, needs_retry_delay
+            )
 
     def message_received(
         self, connection: EngineConnection, message_type: int, call: str, parameters: dict[int, bytes]
     ) -> None:
-        """A message came; a hung engine does nothing with it."""
+        """Reports the message to the checker. A hung engine ignores it otherwise."""
         now = self.reactor.seconds()
         if message_type == MessageType.SETUP:
-            self._setup_came(now, connection, call, parameters)
+            self._setup_received(now, connection, call, parameters)
         elif message_type == MessageType.RELEASE:
-            self._attempt_over(call, "withdrawn")
+            self._attempt_ended(call, "withdrawn")
             self.checker.engine_notified(now, call)
         if self.hung:
             return
-        if message_type == MessageType.SETUP and self.draws.random() < self.pressure.faulty_attempts:
+        if message_type == MessageType.SETUP and self.rng.random() < self.pressure.faulty_attempts:
             faults, weights = zip(*self.pressure.attempt_faults, strict=True)
-            self._spoil(connection, call, self.draws.choices(faults, weights)[0])
+            self._inject_fault(connection, call, self.rng.choices(faults, weights)[0])
         else:
             super().message_received(connection, message_type, call, parameters)
 
-    def _setup_came(
+    def _setup_received(
         self, now: float, connection: EngineConnection, call: str, parameters: dict[int, bytes]
     ) -> None:
         lag = self.lag.lag
@@ -125,41 +127,41 @@
         time_left = float(parameters.get(Parameter.TIME_LEFT, b"0")) / 1000
         self.checker.setup_fields_received(now, call, fields, time_left, lag)
 
-    def _spoil(self, connection: EngineConnection, call: str, fault: AttemptFault) -> None:
-        """Answers an attempt with a fault, or never."""
+    def _inject_fault(self, connection: EngineConnection, call: str, fault: AttemptFault) -> None:
+        """Rejects an attempt with a fault, or leaves it unanswered."""
         if fault is AttemptFault.SILENT:
             return
         never_ran = fault in (AttemptFault.FULL, AttemptFault.NO_CIRCUIT)
-        self._attempt_over(call, fault.value, not never_ran, fault is AttemptFault.RESET)
-        cause, note = FAULT_ANSWERS[fault]
+        self._attempt_ended(call, fault.value, not never_ran, fault is AttemptFault.RESET)
+        cause, note = FAULT_RELEASES[fault]
         parameters = [(Parameter.CAUSE, bytes((cause,))), (Parameter.NOTE, note)]
         if fault is AttemptFault.FULL:
-            parameters.append((PROCESSOR_WAIT, b"%d" % self.draws.uniform(*FULL_FOR)))
+            parameters.append((RETRY_AFTER, b"%d" % self.rng.uniform(*RETRY_AFTER_RANGE)))
         connection.send(MessageType.RELEASE, call, *parameters)
 
     def connection_opened(self, connection: EngineConnection) -> None:
-        """A connection is up: releases that had none go out.
+        """Sends the releases that had no open connection, then retransmits those already written.
 
-        Those that were written go out once more, as the protocol says: on the next connection as well.
+        The protocol requires an engine to repeat its releases on the next connection.
         """
         self._note(connection, "connection opened")
         for call in self.unsent_releases:
             self.checker.engine_released(self.reactor.seconds(), call)
         super().connection_opened(connection)
-        again, self.written_releases = self.written_releases, {}
-        for call, cause in again.items():
-            self._note_release(connection, call, "release written once more")
+        releases, self.written_releases = self.written_releases, {}
+        for call, cause in releases.items():
+            self._note_release(connection, call, "release retransmitted")
             connection.send(MessageType.RELEASE, call, (Parameter.CAUSE, bytes((cause,))))
 
     def connection_closed(self, connection: EngineConnection) -> None:
-        """A connection is over, and the attempts on it."""
-        self._note(connection, "connection over")
+        """Ends the attempts on a closed connection."""
+        self._note(connection, "connection closed")
         for call in [call for call, at in self.attempts.items() if at is connection]:
-            self._attempt_over(call, "connection over")
+            self._attempt_ended(call, "connection closed")
         super().connection_closed(connection)
 
     def _note(self, connection: EngineConnection, event: str) -> None:
-        """An event of a connection; its port tells it from the others."""
+        """Notes an event of a connection, which its port identifies."""
         event = f"{self.settings.name} from {_port(connection)}: {event}"
         self.checker.timeline.note(self.reactor.seconds(), self.softswitch, event)
 
@@ -167,15 +169,15 @@
         self.checker.note(self.reactor.seconds(), call, f"{event} to {_port(connection)}")
 
     def stop(self) -> None:
-        """A crash: its calls are gone."""
+        """Simulates a crash, and reports the end of the engine's calls."""
         self.checker.engine_stopped(self.settings.name)
         super().stop()
 
     def reset_connections(self) -> None:
-        """Hangs up on everybody; the process goes on."""
+        """Resets all connections; the engine itself continues."""
         for connection in list(self.connections):
             for call in [call for call, at in self.attempts.items() if at is connection]:
-                self._attempt_over(call, "connection reset")
+                self._attempt_ended(call, "connection reset")
             connection.transport.abortConnection()
 
     def _send_state(self) -> None:
@@ -185,12 +187,12 @@
             super()._send_state()
 
     def _reject(self, connection: EngineConnection, call: str, cause: int, note: bytes) -> None:
-        self._attempt_over(call, "refused", may_have_run=False)
+        self._attempt_ended(call, "refused", may_have_run=False)
         super()._reject(connection, call, cause, note)
 
     def _answer(self, call: str, description: bytes) -> None:
         if call in self.calls:
-            self._attempt_over(call, "answered")
+            self._attempt_ended(call, "answered")
         super()._answer(call, description)
 
     def _end_call(self, call: str) -> None:
@@ -203,37 +205,37 @@
         if self.connections:
             self.checker.engine_released(self.reactor.seconds(), call)
             self.written_releases[call] = cause
-            written_on = connection if connection in self.connections else next(iter(self.connections))
-            self._note_release(written_on, call, "release written")
+            written_to = connection if connection in self.connections else next(iter(self.connections))
+            self._note_release(written_to, call, "release written")
         super()._send_release(connection, call, cause)
 
 
 class SilentWatchServerConnection(WatchServerConnection):
-    """A softswitch's connection to a board that falls silent now and then."""
+    """A connection to a watch server that is silent at times."""
 
     def send(self, event_number: int, event_type: int, payload: bytes = b"") -> None:
-        """Nothing is said while the board is silent."""
+        """Sends one event, unless the watch server is silent."""
         assert isinstance(self.watch_server, SoakWatchServer)
         if not self.watch_server.silent:
             super().send(event_number, event_type, payload)
 
 
 class SoakWatchServer(WatchServer):
-    """A board that falls silent, and tells what was missed afterwards."""
+    """A watch server that can go silent, and sends the missed events afterwards."""
 
     silent = False
 
     def buildProtocol(self, addr: object) -> WatchServerConnection:
-        """Called by Twisted."""
+        """Called by Twisted for each connection."""
         return SilentWatchServerConnection(self)
 
     def go_silent(self) -> None:
-        """Connections stay, and bring nothing."""
+        """Sends nothing from now on. Connections stay open."""
         self.silent = True
         self._missed_from = self.event_number
 
     def resume(self) -> None:
-        """What was missed is told."""
+        """Sends the missed events to all connections."""
         self.silent = False
         for event_number, event_type, payload in self.events:
             if event_number > self._missed_from:
@@ -241,13 +243,13 @@
                     connection.send(event_number, event_type, payload)
 
     def change_health(self, engine: SoakEngine, health: str, born_ms: int = 0) -> None:
-        """Tells everybody of an engine's health."""
+        """Sends an engine's health to all connections."""
         assert engine.address is not None
         self.change(ListedEngine(engine.settings.name, engine.address, engine.settings.cell, health, born_ms))
 
 
 class SoakCallers(Callers):
-    """The callers of one softswitch. They use an open connection for as long as it is there."""
+    """The callers of one softswitch. They use a connection until it closes."""
 
     def __init__(
         self,
@@ -256,66 +258,66 @@
         seed: int,
         checker: Checker,
         lag: LagMeter,
-        process: Callable[[], str],
+        serving_process: Callable[[], str],
         was_killed: Callable[[], bool],
         pressure: Pressure,
     ) -> None:
         super().__init__(reactor, address, seed)
         self.checker = checker
         self.lag = lag
-        self.process = process  # which process takes new connections
-        self.was_killed = was_killed  # whether SIGKILL went to a process just now
+        self.serving_process = serving_process  # returns the process that accepts new connections
+        self.was_killed = was_killed  # whether a process was just killed with SIGKILL
         self.connected_to = ""
-        self.carried_setup = False  # whether a set-up went out on this connection
+        self.carried_setup = False  # whether a setup was sent on this connection
         self.pressure = pressure
-        self.draws = Random(f"callers {seed}")
+        self.rng = Random(f"callers {seed}")
 
     def connection_up(self, connection: CallerConnection) -> None:
-        """A connection is up."""
-        self.connected_to = self.process()
+        """Notes the process at the other end of the new connection."""
+        self.connected_to = self.serving_process()
         self.carried_setup = False
         self._note(f"caller connected, to {self.connected_to}")
         super().connection_up(connection)
 
     def connection_down(self, connection: CallerConnection) -> None:
-        """The connection is over: what was sent on it is never answered."""
-        self._note("caller's connection over")
+        """Reports the connection's pending setups, which remain unanswered."""
+        self._note("caller's connection closed")
         if self.connection is connection:
-            self.checker.surroundings_of(self.process()).caller_disconnected(self.reactor_now())
-            self.checker.connection_closed(self.reactor_now(), list(self.pending), self.was_killed())
+            self.checker.surroundings_of(self.serving_process()).caller_disconnected(self.now())
+            self.checker.connection_closed(self.now(), list(self.pending), self.was_killed())
         super().connection_down(connection)
 
     def _note(self, event: str) -> None:
-        self.checker.timeline.note(self.reactor_now(), softswitch_of(self.process()), event)
+        self.checker.timeline.note(self.now(), softswitch_of(self.serving_process()), event)
 
-    def reactor_now(self) -> float:
-        """Seconds."""
+    def now(self) -> float:
+        """Returns the time in seconds."""
         return float(self.reactor.seconds())
 
     def place_call(self, call_class: CallClassPlan, destination: int, patience: float) -> None:
-        """One call, unless no connection is up."""
+        """Places one call, unless there is no open connection."""
         if self.connection is None:
             return
         self.answer_timeout = patience
-        number = str(self.draws.randrange(NUMBERS))
+        number = str(self.rng.randrange(NUMBERS))
         self.place(StreamSettings(call_class.name, 1.0, destination, number=number))
-        call, now = f"{self.last_call_id:016x}", self.reactor_now()
+        call, now = f"{self.last_call_id:016x}", self.now()
         fields = SetupFields(call_class.name, number, self.pending[call].description)
         self.checker.setup_sent(now, call, patience, call_class.idempotent, self.connected_to, fields)
         self.pending[call].timer.reset(patience + ANSWER_ALLOWANCE)
-        if not self.carried_setup:  # what only tests connect for can carry no release
+        if not self.carried_setup:  # a connection with only OPTIONS (health checks) carries no releases
             self.carried_setup = True
             self.checker.surroundings_of(self.connected_to).caller_connected(now)
-        if self.draws.random() < self.pressure.leave_early:
-            latest = self.draws.choice((min(patience, SOON), patience))  # most calls are answered soon
-            self.reactor.callLater(self.draws.uniform(0.0, latest), self._leave, call)
+        if self.rng.random() < self.pressure.leave_early:
+            max_delay = self.rng.choice((min(patience, SHORT_DELAY), patience))
+            self.reactor.callLater(self.rng.uniform(0.0, max_delay), self._abandon, call)
 
-    def _leave(self, call: str) -> None:
+    def _abandon(self, call: str) -> None:
         pending_try = self.pending.get(call)
         if pending_try is None or self.connection is None:
             return
         self.connection.send(f"CANCEL sip:{pending_try.stream.number}@net SIP/2.0", call, "CANCEL")
-        self.checker.caller_abandoned(self.reactor_now(), call)
+        self.checker.caller_abandoned(self.now(), call)
         self._fail_try(call, 0, 0.0)
 
     def _hang_up(self, call: str) -> None:
@@ -323,17 +325,17 @@
             return
         del self.established[call]
         self.connection.send("BYE sip:call@net SIP/2.0", call, "BYE", "Reason: Q.850;cause=16")
-        self.checker.caller_hung_up(self.reactor_now(), call)
+        self.checker.caller_hung_up(self.now(), call)
 
     def _timed_out(self, call: str) -> None:
-        self.checker.answer_timed_out(self.reactor_now(), call)
+        self.checker.answer_timed_out(self.now(), call)
         super()._timed_out(call)
 
     def message_received(
         self, connection: CallerConnection, start_line: str, headers: dict[str, str], body: bytes
     ) -> None:
-        """A message came."""
-        now, call = self.reactor_now(), headers.get("call-id", "")
+        """Reports the message to the checker and schedules the release of some established calls."""
+        now, call = self.now(), headers.get("call-id", "")
         if start_line.startswith("BYE"):
             self.checker.caller_notified(now, call)
         elif start_line.startswith("SIP/") and headers.get("cseq", "").endswith("INVITE"):
@@ -341,16 +343,16 @@
             if code >= 200:
                 self.checker.answer_received(now, call, code, self.lag.lag)
         super().message_received(connection, start_line, headers, body)
-        if call in self.established and self.draws.random() < self.pressure.hang_up:
-            self.reactor.callLater(self.draws.uniform(0.0, 1.0), self._hang_up, call)
+        if call in self.established and self.rng.random() < self.pressure.hang_up:
+            self.reactor.callLater(self.rng.uniform(0.0, 1.0), self._hang_up, call)
 
 
 class CrowdConnection(Protocol):
-    """A connection that nobody uses, or that a half of a message came on."""
+    """A connection that stays idle or sends only part of a message."""
 
     def __init__(self, first_bytes: bytes) -> None:
         self.first_bytes = first_bytes
 
     def connectionMade(self) -> None:
-        """Called by Twisted."""
+        """Sends the first bytes. Called by Twisted."""
         self.transport.write(self.first_bytes)
