--- a/softswitch/standin/__init__.py
+++ b/softswitch/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins on the protocol's wire, on loopback: quote engine, notice board, callers; and a fleet of them."""
+"""Stand-ins on loopback with the real wire protocols: quote engine, watch server, callers, and a fleet."""
--- a/softswitch/standin/soak/__init__.py
+++ b/softswitch/standin/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soaks: real softswitches among stand-ins, drawn from a seed, and a checker of the rules on the wire."""
+"""Soaks: real softswitches among stand-ins run a plan generated from a seed; a checker verifies the rules."""
