--- a/benchmarks/cold_engines.py
+++ b/benchmarks/cold_engines.py
@@ -16,7 +16,7 @@
 from statistics import mean
 from time import time
 
-from softswitch.standin.board import Listed
+from softswitch.standin.board import ListedEngine
 from softswitch.standin.engine import EngineSettings
 from softswitch.standin.faults.drill import Drill
 
@@ -77,26 +77,30 @@
             },
         )()
         for engine in self.engines:
-            engine.set = EngineSettings(
-                engine.set.name,
-                engine.set.cell,
+            engine.settings = EngineSettings(
+                engine.settings.name,
+                engine.settings.cell,
                 400,
-                hold=engine.set.hold,
+                hold=engine.settings.hold,
                 work=1 / CAPACITY / 1.4,
-                bears=CAPACITY,
-                cold=WARM_UP,
-                cold_from=INITIAL_CAPACITY,
+                warm_capacity=CAPACITY,
+                warm_up=WARM_UP,
+                initial_capacity=INITIAL_CAPACITY,
                 overload_factor=OVERLOAD_FACTOR,
             )
-            engine.on_born = self._announce
+            engine.on_started = self._announce
         super()._start()
 
     def _announce(self, engine):
-        self.board.change(Listed(engine.set.name, engine.at, engine.set.cell, born_ms=int(time() * 1000) - 5))
+        self.board.change(
+            ListedEngine(
+                engine.settings.name, engine.address, engine.settings.cell, born_ms=int(time() * 1000) - 5
+            )
+        )
 
-    def _one_up(self):
-        super()._one_up()
-        if self.up == self.day.softswitches:
+    def _softswitch_ready(self):
+        super()._softswitch_ready()
+        if self.ready_count == self.day.softswitches:
             self.reactor.callLater(RESTART_AT, self._restart_engines)
             self.reactor.callLater(RESTART_AT + OBSERVED_FOR, self._evaluate)
 
@@ -124,7 +128,7 @@
 def run_drill(variant, seed, heavy):
     """Runs one drill in this process and prints its results as JSON."""
     drill = RestartDrill(variant, seed, heavy)
-    drill.play()
+    drill.run()
     print(json.dumps(drill.results))
 
 
--- a/benchmarks/operation.py
+++ b/benchmarks/operation.py
@@ -37,12 +37,14 @@
     from twisted.internet import reactor
 
     from softswitch.cli.demo import day
-    from softswitch.standin.board import Board, Listed
+    from softswitch.standin.board import ListedEngine, WatchServer
     from softswitch.standin.engine import Engine
 
     settings = day(10.0, 100.0, 3, 400, 1)
     engines = [Engine(reactor, e, n) for n, e in enumerate(settings.engines)]
-    board = Board(reactor, [Listed(e.set.name, e.listen(), e.set.cell) for e in engines])
+    board = WatchServer(
+        reactor, [ListedEngine(e.settings.name, e.listen(), e.settings.cell) for e in engines]
+    )
     address = board.listen()
     print(
         json.dumps(
--- a/benchmarks/record_cost.py
+++ b/benchmarks/record_cost.py
@@ -21,7 +21,7 @@
     fields = {name: getattr(day, name) for name in day.__dataclass_fields__} | {
         "record_interval": 5.0 if record else 0.0
     }
-    result = Fleet(Day(**fields)).play()
+    result = Fleet(Day(**fields)).run()
     usage = resource.getrusage(resource.RUSAGE_CHILDREN)
     print((usage.ru_utime + usage.ru_stime) / result.total().tries)
 
--- a/benchmarks/replay_sockets.py
+++ b/benchmarks/replay_sockets.py
@@ -54,7 +54,7 @@
             streams=(stream(10, number="0"), stream(8, dest=1, number="1")),
         ),
         "overflow, reserve": dict(
-            engines=(engine(0, 8), engine(1, 14, reserve=3, own="1")),
+            engines=(engine(0, 8), engine(1, 14, reserve=3, reserve_prefix="1")),
             classes=one,
             streams=(stream(10, number="0"), stream(8, dest=1, number="1")),
         ),
@@ -63,8 +63,8 @@
             classes=one,
             streams=(stream(17),),
             tries=4,
-            again=0.8,
-            pause=4 * HOLDING_TIME,
+            redial_probability=0.8,
+            redial_delay=4 * HOLDING_TIME,
         ),
     }
 
@@ -81,13 +81,13 @@
     day = Day(
         **traffic_patterns()[name],
         seconds=seconds,
-        warm=10 * HOLDING_TIME,
+        warm_up=10 * HOLDING_TIME,
         seed=seed,
         record_interval=10.0,
         record_slot=0.1,
-        patience=2.0,
+        answer_timeout=2.0,
     )
-    result = Fleet(day).play()
+    result = Fleet(day).run()
     streams = aggregate_streams([read(p) for p in result.records]).streams
     samples = {(s.dest, s.call_class): make_sample(s) for s in streams}
     estimates = {k: report.estimate_busiest(s) for k, s in samples.items()}
--- a/softswitch/cli/demo.py
+++ b/softswitch/cli/demo.py
@@ -45,17 +45,17 @@
         seed=seed,
         record_interval=5.0,
         record_slot=0.5,
-        patience=3.0,
+        answer_timeout=3.0,
         tries=2,
-        again=0.5,
-        pause=1.0,
-        honour=True,
+        redial_probability=0.5,
+        redial_delay=1.0,
+        honour_retry_after=True,
     )
 
 
 def live_tables(fleet: Fleet) -> Group:
     """Returns tables of the current state as the stand-ins see it."""
-    now = fleet.reactor.seconds() - fleet.began
+    now = fleet.reactor.seconds() - fleet.started_at
     calls = Table(
         "class",
         "first choice",
@@ -94,13 +94,13 @@
     )
     for e in fleet.engines:
         engines.add_row(
-            e.set.name,
-            str(e.set.circuits),
+            e.settings.name,
+            str(e.settings.circuits),
             str(e.used),
             str(e.count["set-ups"]),
             str(e.count["refused: circuits"]),
             str(e.count["refused: processor"]),
-            f"{e.queued * 1000:.0f}",
+            f"{e.queued_work * 1000:.0f}",
         )
     return Group(calls, engines)
 
@@ -127,9 +127,9 @@
     try:
         if live:
             with live:
-                result = fleet.play()
+                result = fleet.run()
         else:
-            result = fleet.play()
+            result = fleet.run()
     except FleetFailed as e:
         exit_with_error(e)
     (file,) = result.records
@@ -142,7 +142,7 @@
             exit_with_error(f"{keep}: {e.strerror}; name a writable file")
     if as_json:
         report: dict[str, Any] = {
-            "callers": total.told(),
+            "callers": total.as_dict(),
             "engines": result.engines,
             "traffic": traffic,
             "kept": keep,
--- a/softswitch/cli/soak.py
+++ b/softswitch/cli/soak.py
@@ -13,7 +13,7 @@
 from rich.table import Table
 
 from softswitch.cli import exit_with_error
-from softswitch.standin.soak.plan import draw
+from softswitch.standin.soak.plan import generate_plan
 from softswitch.standin.soak.run import Soak
 
 START_AND_END_TIMEOUT = 90.0  # s that a soak may take to start and to end, besides its duration
@@ -43,7 +43,7 @@
     """Runs soaks. Exits with 0 only if no rule was violated."""
     _check_plant(plant)
     if seeds == 1:
-        reports = [orjson.loads(orjson.dumps(Soak(draw(seed, seconds), plant).play().report()))]
+        reports = [orjson.loads(orjson.dumps(Soak(generate_plan(seed, seconds), plant).run().report()))]
     else:
         with ThreadPoolExecutor(jobs) as pool:
             reports = list(pool.map(lambda n: _run_in_process(n, seconds, plant), range(seed, seed + seeds)))
@@ -60,10 +60,10 @@
 def _check_plant(plant: str) -> None:
     if not plant:
         return
-    from softswitch.standin.soak.planted import PLANTS  # imports the whole softswitch
+    from softswitch.standin.soak.planted import FAULTS  # imports the whole softswitch
 
-    if plant not in PLANTS:
-        exit_with_error(f"--plant {plant}: one of {', '.join(PLANTS)}")
+    if plant not in FAULTS:
+        exit_with_error(f"--plant {plant}: one of {', '.join(FAULTS)}")
 
 
 def _run_in_process(seed: int, seconds: float, plant: str) -> Report:
--- a/softswitch/standin/faults/drill.py
+++ b/softswitch/standin/faults/drill.py
@@ -140,7 +140,7 @@
         seconds=seconds,
         softswitches=softswitches,
         seed=seed,
-        patience=3.0,
+        answer_timeout=3.0,
     )
 
 
@@ -182,7 +182,7 @@
         self.heavy, self.moves_s, self.caller_rng = heavy, moves_s, Random(seed + 1)
         if self.audit is not None:
             for engine in self.engines:
-                engine.came = self._setup_received
+                engine.on_setup = self._setup_received
         self.names = [f"n{n}" for n in range(softswitches)]
         self.sites = {name: "abcdefghijkl"[n % sites] for n, name in enumerate(self.names)}
         self.site_count = sites
@@ -207,7 +207,7 @@
 
     # the processes
 
-    def configured(self, n: int) -> dict[str, Any]:
+    def extra_configuration(self, n: int) -> dict[str, Any]:
         """The management address, on the process's own host."""
         return {"mgmt": f"{self.mgmt_addresses[n][0]}:{self.mgmt_addresses[n][1]}"}
 
@@ -251,7 +251,7 @@
     def _at(self, n: int) -> str:
         return "{}:{}".format(*self.peer_addresses[n])
 
-    def program(self, n: int) -> subprocess.Popen[bytes]:
+    def start_process(self, n: int) -> subprocess.Popen[bytes]:
         """Starts a softswitch, with its log through a pipe.
 
         A thread of this process writes the log to its file, since `disk full` limits the size of files that
@@ -288,18 +288,20 @@
         """Whether it is an error if this softswitch has ended."""
         return self.expected_state[n] != "ended"
 
-    def caller_of(self, nth: int) -> Callers | None:
+    def callers_for(self, nth: int) -> Callers | None:
         """The callers of a running softswitch; with `heavy`, one softswitch gets more calls."""
         running = [
-            c for n, c in enumerate(self.callers) if self.expected_state[n] == "run" and c.line is not None
+            c
+            for n, c in enumerate(self.callers)
+            if self.expected_state[n] == "run" and c.connection is not None
         ]
         if self.heavy and running and self.caller_rng.random() < self.heavy:
             return running[int(self.now() // self.moves_s) % len(running) if self.moves_s else 0]
         return running[nth % len(running)] if running else None
 
-    def _one_up(self) -> None:
-        super()._one_up()
-        if self.up == self.day.softswitches:
+    def _softswitch_ready(self) -> None:
+        super()._softswitch_ready()
+        if self.ready_count == self.day.softswitches:
             self.links.unavailable.clear()
             self.ready = set(range(len(self.names)))
             for fault in self.faults:
@@ -312,7 +314,7 @@
 
     def now(self) -> float:
         """Seconds since the start of the run."""
-        return float(self.reactor.seconds()) - self.began
+        return float(self.reactor.seconds()) - self.started_at
 
     def _start_fault(self, fault: Fault) -> None:
         if self.ending:
@@ -393,7 +395,7 @@
             self.reactor.callLater(RESTART_RETRY_DELAY, self._restart, n)
             return
         self.expected_state[n] = "run"
-        self.programs[n] = self.program(n)
+        self.programs[n] = self.start_process(n)
         self.links.mark_disturbed(self.now() * 1000, (self.names[n],))
 
     def _send_flood(self, fault: Fault, members: list[int]) -> None:
@@ -563,7 +565,7 @@
 
         Raises FleetFailed if a softswitch did not start, or ended unexpectedly.
         """
-        result = self.play()
+        result = self.run()
         total = result.total()
         settled = self.start_s is not None and all(e.settled_after is not None for e in self.events)
         settled |= not self.watched
