--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -158,7 +158,7 @@
 
 
 def wrong(seed):
-    return bench.one(seed)[1]
+    return bench.run_schedule(seed)[1]
 
 
 def test_generated_schedules_stay_within_all_totals_and_settle():
@@ -178,7 +178,9 @@
 
 def test_division_by_the_number_of_visible_members_exceeds_the_total_in_a_partition():
     faults = [Fault(at_s=6.0, what="cut", who=("site:a",), for_s=10.0)]
-    over = run_simulation(plan(), 6, 2, 20.0, 1, faults, make=bench.Counted, strict=False).steps_over_total
+    over = run_simulation(
+        plan(), 6, 2, 20.0, 1, faults, make=bench.CountingClient, strict=False
+    ).steps_over_total
     kept = run_simulation(plan(), 6, 2, 20.0, 1, faults, demand=uniform_demand(20.0))
     assert over > 0
     assert not kept.violation
@@ -188,14 +190,14 @@
 @pytest.mark.parametrize(
     "name",
     [
-        "a voter promises itself to two",
-        "leases are written off early",
-        "floors are left out of the sum",
-        "all is available",
+        "a voter makes two promises at a time",
+        "leases are written off too early",
+        "floors are not included in the sum",
+        "unlimited slots count as available",
     ],
 )
 def test_an_injected_fault_is_detected(name):
-    undo = bench.planted()[name]()
+    undo = bench.injected_faults()[name]()
     try:
         assert any(wrong(seed) for seed in range(40))
     finally:
