--- a/softswitch/standin/faults/drill.py
+++ b/softswitch/standin/faults/drill.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Event:
+class FaultEvent:
     """A fault that was run, and its observed effects. All times are in seconds."""
 
     fault: Fault
@@ -65,9 +65,9 @@
     seed: int
     seconds: float
     settled: bool
-    start_s: float | None
-    events: list[Event]
-    false_gone: list[str]
+    start_s: float | None  # time until all views were equal and correct for the first time
+    events: list[FaultEvent]
+    false_gone: list[str]  # reports of members as gone that were running
     calls: int
     carried: int
     cut: int
@@ -150,7 +150,8 @@
     Without `view` the processes form no fleet; load and faults are the same. Without `watched` the checker
     queries neither views nor budgets, so that the cost of the views alone can be measured. `heavy` is the
     fraction of all calls that one softswitch gets on top of its equal part; every `moves_s` seconds another
-    softswitch gets it (0: never).
+    softswitch gets it (0: never). `operator_tables` is added to the operator files, `fleet_keys` to the fleet
+    table in them.
     """
 
     def __init__(
@@ -190,7 +191,7 @@
         self.links = Links(self.sites, self.rng)
         self.links.unavailable |= set(self.names)
         self.faults = sorted(faults, key=lambda f: f.at_s)
-        self.events: list[Event] = []
+        self.events: list[FaultEvent] = []
         hosts = own_hosts(softswitches)
         self.peer_addresses = [(host, PEER_PORT) for host in hosts]
         self.mgmt_addresses = [(host, MGMT_PORT) for host in hosts]
@@ -263,7 +264,7 @@
         env = environment.without(env, environment.OPERATOR_FILE)
         if star.exists():
             env["SOFTSWITCH_OPERATOR"] = str(star)
-        made = subprocess.Popen(
+        process = subprocess.Popen(
             [sys.executable, "-m", "softswitch"],
             cwd=Path(__file__).parents[3],
             env=env,
@@ -273,16 +274,16 @@
         )
 
         def copy() -> None:
-            assert made.stdout is not None
+            assert process.stdout is not None
             with open(self.logs[n], "ab") as out:
-                for line in made.stdout:
+                for line in process.stdout:
                     out.write(line)
                     out.flush()
 
         thread = threading.Thread(target=copy, daemon=True)
         thread.start()
         self.log_threads.append(thread)
-        return made
+        return process
 
     def should_run(self, n: int) -> bool:
         """Whether it is an error if this softswitch has ended."""
@@ -317,7 +318,7 @@
     def _start_fault(self, fault: Fault) -> None:
         if self.ending:
             return
-        event = Event(fault, self.now())
+        event = FaultEvent(fault, self.now())
         self.events.append(event)
         active = self.links.begin(self.now() * 1000, fault)
         members = [self.names.index(name) for name in select_members(fault.who, self.sites)]
@@ -357,7 +358,7 @@
                 folder.rename(folder.with_suffix(".away"))
                 folder.write_bytes(b"")
 
-    def _end_fault(self, event: Event, active: Any, members: list[int]) -> None:
+    def _end_fault(self, event: FaultEvent, active: Any, members: list[int]) -> None:
         if self.ending:
             return
         fault, now = event.fault, self.now()
--- a/softswitch/standin/faults/schedule.py
+++ b/softswitch/standin/faults/schedule.py
@@ -25,12 +25,12 @@
     "lose",
     "double",
     "reorder",
-    "spoil",
+    "spoil",  # corrupt messages
     "limit",
-    "kill",
-    "stop",
-    "restart",
-    "leave",
+    "kill",  # the process is started again after `for_s`, if given
+    "stop",  # the process is paused
+    "restart",  # planned stop; the process is started again after `for_s`
+    "leave",  # planned stop; the process is started again after `for_s`, if given
     "disk full",
     "disk read-only",
     "disk slow",
