--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -95,10 +95,10 @@
 def test_gates_and_warm_up_state_survive_new_settings():
     b = Bench()
     gate = b.switch.controller.gates[A]
-    gate.failures, gate.cold_since, gate.delay = 2.0, 900.0, 77.0
+    gate.failures, gate.slow_start_at, gate.estimate.delay = 2.0, 900.0, 77.0
     b.switch.apply_settings(settings(max_attempts=2))
     assert b.switch.controller.gates[A] is gate
-    assert (gate.failures, gate.cold_since, gate.delay) == (2.0, 900.0, 77.0)
+    assert (gate.failures, gate.slow_start_at, gate.estimate.delay) == (2.0, 900.0, 77.0)
     assert b.switch.report_figures()["out_of_rotation"] == 1
 
 
