--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -681,6 +681,7 @@
         trickle(s.party("e0"), struct.pack(">H", len(answer)) + answer)  # 0.9 s in all
         s.play("c0 expect 200 .*d{200,200}$")
         assert "cut short" not in s.log_text()
+        assert "truncated" not in s.log_text()
         assert "bad frame" not in s.log_text()
 
 
