--- a/softswitch/interface.py
+++ b/softswitch/interface.py
@@ -219,11 +219,11 @@
         """Returns 0 if these limits and `shared` admit the call; else ms until a similar call may pass."""
 
     def weight_of(
-        self, now: float, request: SetupRequested, call_class: CallClass, call_share: float
+        self, now: float, request: SetupRequested, call_class: CallClass, call_fraction: float
     ) -> float:
         """Returns the priority weight of an admitted call; called once per call.
 
-        `call_share`: this softswitch's fraction of all calls, from 0 to 1.
+        `call_fraction`: this softswitch's fraction of all calls, from 0 to 1.
         """
 
     def record_attempt_event(self, now: float, event: AttemptEvent, request: SetupRequested | None) -> None:
@@ -238,7 +238,7 @@
         return shared.admit(call_class.name, call_class.priority_weight)
 
     def weight_of(
-        self, now: float, request: SetupRequested, call_class: CallClass, call_share: float
+        self, now: float, request: SetupRequested, call_class: CallClass, call_fraction: float
     ) -> float:
         """Returns the weight of the call's class."""
         return call_class.weight_of(request.redial)
--- a/softswitch/limits/call_limits.py
+++ b/softswitch/limits/call_limits.py
@@ -26,10 +26,10 @@
         return wait or shared.admit(call_class.name, call_class.priority_weight)
 
     def weight_of(
-        self, now: float, request: i.SetupRequested, call_class: i.CallClass, call_share: float
+        self, now: float, request: i.SetupRequested, call_class: i.CallClass, call_fraction: float
     ) -> float:
         """Returns the priority weight of an admitted call, reduced if its tenant is over its quota."""
-        factor = self.tenants.weight_factor(now, request.tenant, call_class, call_share)
+        factor = self.tenants.weight_factor(now, request.tenant, call_class, call_fraction)
         return call_class.weight_of(request.redial) * factor
 
     def record_attempt_event(
--- a/softswitch/limits/tenants.py
+++ b/softswitch/limits/tenants.py
@@ -24,9 +24,9 @@
         self.tokens = 0.0
         self.updated_at: float | None = None  # None: no call yet, the bucket is full
 
-    def take(self, now: float, call_share: float) -> bool:
-        """Takes a token; False: there is none. Tokens are added at the fraction `call_share` of the quota."""
-        rate = self.quota * call_share
+    def take(self, now: float, call_fraction: float) -> bool:
+        """Takes a token; False: there is none. Tokens are added at the quota multiplied by `call_fraction`."""
+        rate = self.quota * call_fraction
         burst = max(1.0, rate * BURST)
         gained = burst if self.updated_at is None else rate * (now - self.updated_at)
         self.tokens = min(burst, self.tokens + gained)
@@ -57,14 +57,15 @@
             bucket = self.buckets[tenant.name] = old_buckets.get(tenant.name) or TokenBucket(0.0)
             bucket.quota = tenant.quota / MS_PER_S
 
-    def weight_factor(self, now: float, tenant: str, call_class: i.CallClass, call_share: float) -> float:
+    def weight_factor(self, now: float, tenant: str, call_class: i.CallClass, call_fraction: float) -> float:
         """Returns the factor by which the weight of one more call of the tenant is multiplied.
 
-        Every call takes a token, but only the weight of calls of the lowest weight is reduced: `call_share`
-        is an estimate, and shedding one call of high weight costs more than serving several of low weight.
+        Every call takes a token, but only the weight of calls of the lowest weight is reduced:
+        `call_fraction` is an estimate, and shedding one call of high weight costs more than serving several
+        of low weight.
         """
         bucket = self.buckets.get(tenant)
-        if bucket is None or bucket.take(now, call_share):
+        if bucket is None or bucket.take(now, call_fraction):
             return 1.0
         self.over_quota_calls += 1
         return self.over_weight if call_class.priority_weight <= self.min_weight else 1.0
--- a/softswitch/policy/controller.py
+++ b/softswitch/policy/controller.py
@@ -74,7 +74,7 @@
         if call_class is None or wait:  # the caller may retry when the quota opens
             self.actions.append(i.Reject(event.call, min(wait, self.settings.retry_after)))
             return
-        weight = self.limits.weight_of(now, event, call_class, self.call_share)
+        weight = self.limits.weight_of(now, event, call_class, self.call_fraction)
         call = self.calls[event.call] = Call(now, event, call_class, weight)
         call.max_attempts = self.settings.max_attempts
         if not event.redial:
--- a/softswitch/policy/endpoints.py
+++ b/softswitch/policy/endpoints.py
@@ -7,7 +7,7 @@
 
 MIN_WAIT, MAX_WAIT = 0.08, 0.15  # fractions of the objective that calls may wait at an endpoint, by weight
 PROBE_INTERVAL = 1000.0  # ms between probes of a closed gate
-PROBE_SHARE = 0.2  # the probes of all softswitches, as a fraction of the endpoint's capacity
+PROBE_FRACTION = 0.2  # the probes of all softswitches, as a fraction of the endpoint's capacity
 TOLERATED_QUEUE = 3.0  # this many call setups waiting at an endpoint are no overload
 HEADROOM = 1.25  # rate of call setups to an overloaded endpoint, as a multiple of its known capacity
 SLOW_START_SAFETY = 0.85  # fraction of the slow start budget that is used: the estimates are rough
@@ -157,29 +157,30 @@
     return gate.capacity
 
 
-def call_share(state: State, now: float) -> float:
+def call_fraction(state: State, now: float) -> float:
     """This softswitch's fraction of all calls; the fractions of all softswitches add up to 1.
 
-    It is the mean of an equal share per softswitch and of its share of the established calls.
+    It is the mean of two fractions: one divided by the number of softswitches, and this softswitch's fraction
+    of the established calls.
     """
-    if now - state.call_share_at > state.window / 2:
-        gates, equal_share = state.gates.values(), 1 / state.settings.fleet_size
+    if now - state.call_fraction_at > state.window / 2:
+        gates, equal_fraction = state.gates.values(), 1 / state.settings.fleet_size
         used = {g.cell: g.circuits - g.free_circuits for g in gates if g.circuits_reported_at > LONG_AGO}
         total, own = sum(used.values()), sum(g.established for g in gates)
-        by_calls = min(1.0, own / total) if total > 0 else equal_share
-        state.call_share, state.call_share_at = (equal_share + by_calls) / 2, now
-    return state.call_share
+        by_calls = min(1.0, own / total) if total > 0 else equal_fraction
+        state.call_fraction, state.call_fraction_at = (equal_fraction + by_calls) / 2, now
+    return state.call_fraction
 
 
 def probe_due(state: State, now: float, gate: Gate) -> bool:
     """Whether a closed gate may be probed: once per PROBE_INTERVAL.
 
-    The interval is longer where the probes of all softswitches would exceed PROBE_SHARE of the capacity.
+    The interval is longer where the probes of all softswitches would exceed PROBE_FRACTION of the capacity.
     """
     if now < gate.closed_until or (gate.failures >= EJECTION_FAILURES and gate.queued()):
         return False
-    share = state.constraints.share(i.SHARED_PROBES, gate.server, 1 / state.settings.fleet_size)
-    interval = max(PROBE_INTERVAL, 1 / max(1e-9, share * PROBE_SHARE * capacity(state, now, gate)))
+    fraction = state.constraints.share(i.SHARED_PROBES, gate.server, 1 / state.settings.fleet_size)
+    interval = max(PROBE_INTERVAL, 1 / max(1e-9, fraction * PROBE_FRACTION * capacity(state, now, gate)))
     if now - gate.probed_at > 2 * interval > 2 * PROBE_INTERVAL:  # random: not all probe at once
         gate.probed_at = now - interval * state.random.random()
     return now - gate.probed_at >= interval
@@ -191,7 +192,7 @@
     An endpoint that is short of circuits, overloaded or in slow start is paced: this softswitch sends
     only its fraction of the calls that the endpoint can take.
     """
-    settings, warm_rate, share = state.settings, capacity(state, now, gate), call_share(state, now)
+    settings, warm_rate, fraction = state.settings, capacity(state, now, gate), call_fraction(state, now)
     if gate.slow_start_at is not None and now >= (warm_at := gate.slow_start_at + settings.warm_up):
         gate.overloaded_until = max(gate.overloaded_until, warm_at + OVERLOADED_FOR * state.window)
         gate.slow_start_at = None
@@ -202,15 +203,17 @@
     used = gate.circuits - gate.free_circuits
     rate = used / state.holding_time + gate.free_circuits / state.window if short else 1e9
     rate = min(rate, HEADROOM * max(gate.max_rate / 1000, warm_rate)) if overloaded else rate
-    lifetime = 2 / (share * max(rate, 1e-9))
+    lifetime = 2 / (fraction * max(rate, 1e-9))
     if gate.slow_start_at is not None:
         # Within one overload_window, the softswitches can use the permits issued in it, and those issued up
         # to one lifetime before it.
         level = settings.initial_capacity ** (1 - (now - gate.slow_start_at) / settings.warm_up)
         budget = settings.overload_factor * SLOW_START_SAFETY / (1 + SLOW_START_LIFETIME)
         rate, lifetime = min(rate, budget * level * warm_rate), settings.overload_window * SLOW_START_LIFETIME
-        share = state.constraints.share(i.SHARED_SLOW_START, gate.server, share * settings.slow_start_share)
-    return gate.pacer.available(now, rate * share, lifetime, state.random.random()) >= 1
+        fraction = state.constraints.share(
+            i.SHARED_SLOW_START, gate.server, fraction * settings.slow_start_share
+        )
+    return gate.pacer.available(now, rate * fraction, lifetime, state.random.random()) >= 1
 
 
 def wait_limit(state: State, call: Call) -> float:
--- a/softswitch/policy/state.py
+++ b/softswitch/policy/state.py
@@ -126,7 +126,10 @@
         self.constraints: i.Constraints = i.UNLIMITED
         self.actions: list[i.Action] = []  # of the event being handled
         self.stalled_for = 0.0  # ms that this process was stalled just before the current time; 0: no stall
-        self.call_share, self.call_share_at = 1 / settings.fleet_size, LONG_AGO  # see endpoints.call_share
+        self.call_fraction, self.call_fraction_at = (
+            1 / settings.fleet_size,
+            LONG_AGO,
+        )  # see endpoints.call_fraction
         self.apply(settings)
 
     def apply(self, settings: i.Settings) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -20,7 +20,7 @@
 
 from softswitch import Controller
 from softswitch import interface as i
-from softswitch.policy.endpoints import call_share
+from softswitch.policy.endpoints import call_fraction
 
 
 def test_a_call_without_any_endpoint_gets_one_answer_in_time():
@@ -340,7 +340,7 @@
         end_attempt(c, 2000.0, f"s{k + 10}", "a", i.Outcome.OK, call_over=True)
     end_attempt(c, 2000.0, "never", "a", i.Outcome.OK, call_over=True)
     assert c.gates["a"].established == 0
-    assert call_share(c, 9000.0) == 1 / 8  # half of an equal share, as no call is established
+    assert call_fraction(c, 9000.0) == 1 / 8  # half of an equal fraction, as no call is established
 
 
 def test_an_endpoint_that_has_just_warmed_up_is_still_paced():
