--- a/softswitch/interface.py
+++ b/softswitch/interface.py
@@ -257,7 +257,7 @@
     """Load report of an endpoint; a negative value is unknown."""
 
     circuits: float = -1.0
-    free_circuits: float = -1.0
+    available_circuits: float = -1.0
     wait: float = -1.0  # ms
     rate: float = -1.0  # call setups per second that it can take
     queue: float = -1.0  # waiting call setups
--- a/softswitch/policy/endpoints.py
+++ b/softswitch/policy/endpoints.py
@@ -63,7 +63,7 @@
         gate.estimate.delay, gate.estimate.in_flight = max(gate.estimate.delay, state.max_objective), 0.0
         gate.closed_until = now + event.retry_after
     elif outcome is i.Outcome.REJECTED:
-        gate.free_circuits = 0.0
+        gate.available_circuits = 0.0
     elif outcome is not i.Outcome.ERROR:
         gate.failures /= 2
         # After a stall, the answer may have waited unread in this process.
@@ -85,7 +85,7 @@
             gate = state.gates[e.server] = Gate(e, state.window)
             if known is not None:
                 gate.in_flight, gate.max_used_circuits = known.in_flight, known.max_used_circuits
-                gate.circuits, gate.free_circuits = known.circuits, known.free_circuits
+                gate.circuits, gate.available_circuits = known.circuits, known.available_circuits
         gate.state, gate.cell, gate.started_at = e.state, e.cell, e.started_at
         if restarted and e.started_at and now - e.started_at < state.settings.warm_up:
             enter_slow_start(state, gate, e.started_at)
@@ -102,10 +102,10 @@
     )
     if gate is None:
         return
-    if report.circuits >= 0 and report.free_circuits >= 0:
-        used = gate.circuits - gate.free_circuits
+    if report.circuits >= 0 and report.available_circuits >= 0:
+        used = gate.circuits - gate.available_circuits
         age = min(now - gate.circuits_reported_at, state.holding_time)
-        freed, expected = report.free_circuits - gate.free_circuits, used * age / state.holding_time
+        freed, expected = report.available_circuits - gate.available_circuits, used * age / state.holding_time
         unsolicited = isinstance(event, i.LoadReported) and gate.state is i.EndpointState.READY
         if (
             unsolicited
@@ -114,10 +114,10 @@
             and len(gates_of_cell(state, gate)) == 1
         ):
             enter_slow_start(state, gate, now)  # far more calls ended than expected: the endpoint was down
-        gate.circuits, gate.free_circuits = report.circuits, report.free_circuits
+        gate.circuits, gate.available_circuits = report.circuits, report.available_circuits
         gate.circuits_reported_at = now
         decayed = gate.max_used_circuits * exp(-age / (2 * state.holding_time))
-        gate.max_used_circuits = max(gate.circuits - gate.free_circuits, decayed)
+        gate.max_used_circuits = max(gate.circuits - gate.available_circuits, decayed)
     wait = report.wait
     if report.rate >= 0:
         since = max(gate.estimate.reported_at, now - state.window)
@@ -165,7 +165,7 @@
     """
     if now - state.call_fraction_at > state.window / 2:
         gates, equal_fraction = state.gates.values(), 1 / state.settings.fleet_size
-        used = {g.cell: g.circuits - g.free_circuits for g in gates if g.circuits_reported_at > LONG_AGO}
+        used = {g.cell: g.circuits - g.available_circuits for g in gates if g.circuits_reported_at > LONG_AGO}
         total, own = sum(used.values()), sum(g.established for g in gates)
         by_calls = min(1.0, own / total) if total > 0 else equal_fraction
         state.call_fraction, state.call_fraction_at = (equal_fraction + by_calls) / 2, now
@@ -196,12 +196,12 @@
     if gate.slow_start_at is not None and now >= (warm_at := gate.slow_start_at + settings.warm_up):
         gate.overloaded_until = max(gate.overloaded_until, warm_at + OVERLOADED_FOR * state.window)
         gate.slow_start_at = None
-    short, overloaded = gate.free_circuits < settings.fleet_size, now < gate.overloaded_until
+    short, overloaded = gate.available_circuits < settings.fleet_size, now < gate.overloaded_until
     if not (short or overloaded or gate.slow_start_at is not None):
         gate.pacer.active = False
         return True
-    used = gate.circuits - gate.free_circuits
-    rate = used / state.holding_time + gate.free_circuits / state.window if short else 1e9
+    used = gate.circuits - gate.available_circuits
+    rate = used / state.holding_time + gate.available_circuits / state.window if short else 1e9
     rate = min(rate, HEADROOM * max(gate.max_rate / 1000, warm_rate)) if overloaded else rate
     lifetime = 2 / (fraction * max(rate, 1e-9))
     if gate.slow_start_at is not None:
--- a/softswitch/policy/state.py
+++ b/softswitch/policy/state.py
@@ -72,7 +72,7 @@
         self.closed_until = self.overloaded_until = LONG_AGO  # by its retry_after; by a delay or report
         self.tolerated_wait = self.fastest_answer = 0.0  # ms; a few waiting call setups are no overload
         self.slow_start_at: float | None = None  # start of its warm-up; None: warm
-        self.circuits, self.free_circuits = endpoint.weight, 1e12  # of its cell
+        self.circuits, self.available_circuits = endpoint.weight, 1e12  # of its cell
         self.max_used_circuits, self.circuits_reported_at = 0.0, LONG_AGO  # the maximum decays slowly
         self.capacity = self.max_rate = 0.0  # call setups per ms when warm; max per s reported, decaying
 
