--- a/softswitch/core/call.py
+++ b/softswitch/core/call.py
@@ -26,7 +26,7 @@
 
     NORMAL = 16
     RECOVERY_ERROR = 41  # the call was cut off
-    NO_CIRCUIT = 34  # no free circuit, or a full processor if the note of the release says so
+    NO_CIRCUIT = 34  # no circuit available, or a full processor if the note of the release says so
     NOT_SENT = 102
     ERRORS = (17, 47)  # user busy, resource unavailable
 
--- a/softswitch/limits/tenants.py
+++ b/softswitch/limits/tenants.py
@@ -25,7 +25,7 @@
         self.updated_at: float | None = None  # None: no call yet, the bucket is full
 
     def take(self, now: float, call_fraction: float) -> bool:
-        """Takes a token; False: there is none. Tokens are added at the quota multiplied by `call_fraction`."""
+        """Takes a token; False: there is none. Tokens are added at the quota times `call_fraction`."""
         rate = self.quota * call_fraction
         burst = max(1.0, rate * BURST)
         gained = burst if self.updated_at is None else rate * (now - self.updated_at)
