--- a/softswitch/policy/controller.py
+++ b/softswitch/policy/controller.py
@@ -17,7 +17,7 @@
     def __init__(self, settings: i.Settings, seed: int, limits: i.CallLimits = i.NO_CALL_LIMITS) -> None:
         super().__init__(settings, seed)
         self.limits = limits
-        self.max_timeout: dict[str, float] = {}  # longest timeout of a first try, by class
+        self.max_timeout: dict[str, float] = {}  # of call setups that are no redials, by class
         self.queued: dict[str, Call] = {}  # calls with no attempt in flight, in order of arrival
         self.stacks: dict[tuple[str, float, int], list[Call]] = {}  # calls ready to send, newest last
         self.delayed: list[Call] = []  # queued calls that wait for retry_delay
@@ -78,10 +78,10 @@
         call = self.calls[event.call] = Call(now, event, call_class, weight)
         call.max_attempts = self.settings.max_attempts
         if not event.redial:
-            longest = max(event.timeout, self.max_timeout.get(event.call_class, 0.0))
-            self.max_timeout[event.call_class] = longest
-            # A timeout below the longest shows that the call setup waited unread during the stall.
-            call.received_at -= min(self.stalled_for, longest - event.timeout)
+            max_timeout = max(event.timeout, self.max_timeout.get(event.call_class, 0.0))
+            self.max_timeout[event.call_class] = max_timeout
+            # A timeout below the maximum shows that the call setup waited unread during the stall.
+            call.received_at -= min(self.stalled_for, max_timeout - event.timeout)
         self.timers[self.next_token] = event.call
         self.actions.append(i.StartTimer(call.deadline, self.next_token))
         self.next_token += 1
--- a/softswitch/policy/endpoints.py
+++ b/softswitch/policy/endpoints.py
@@ -120,8 +120,8 @@
         gate.max_used_circuits = max(gate.circuits - gate.available_circuits, decayed)
     wait = report.wait
     if report.rate >= 0:
-        since = max(gate.estimate.reported_at, now - state.window)
-        gate.max_rate = max(report.rate, gate.max_rate * exp((since - now) / 15 / state.window))
+        decays_from = max(gate.estimate.reported_at, now - state.window)
+        gate.max_rate = max(report.rate, gate.max_rate * exp((decays_from - now) / 15 / state.window))
         if wait < 0 and gate.max_rate > 0:
             wait = state.max_objective * max(0.0, 1 - 2 * report.rate / gate.max_rate)
             wait = 1000.0 * report.queue / gate.max_rate if report.queue >= 0 else wait
@@ -144,11 +144,11 @@
 
 
 def capacity(state: State, now: float, gate: Gate) -> float:
-    """Call setups per ms when warm, from the circuits seen in use in its cell or at the warm endpoints."""
+    """Call setups per ms once warmed up, from the circuits seen in use in its cell or at warm endpoints."""
     if now - gate.capacity_at > state.window / 2:
         ready = [g for g in state.gates.values() if g.state is i.EndpointState.READY]
-        warm_gates = [g for g in ready if g.slow_start_at is None and g.max_used_circuits > 0]
-        used = sum(g.max_used_circuits for g in warm_gates) / max(1.0, sum(g.circuits for g in warm_gates))
+        warmed_up = [g for g in ready if g.slow_start_at is None and g.max_used_circuits > 0]
+        used = sum(g.max_used_circuits for g in warmed_up) / max(1.0, sum(g.circuits for g in warmed_up))
         seen_used = max(g.max_used_circuits for g in gates_of_cell(state, gate))
         circuits = max(seen_used, gate.circuits * max(MIN_USED, used))
         gate.capacity, gate.capacity_at = max(circuits / state.holding_time, 1 / PROBE_INTERVAL), now
@@ -192,9 +192,9 @@
     An endpoint that is short of circuits, overloaded or in slow start is paced: this softswitch sends
     only its fraction of the calls that the endpoint can take.
     """
-    settings, warm_rate, fraction = state.settings, capacity(state, now, gate), call_fraction(state, now)
-    if gate.slow_start_at is not None and now >= (warm_at := gate.slow_start_at + settings.warm_up):
-        gate.overloaded_until = max(gate.overloaded_until, warm_at + OVERLOADED_FOR * state.window)
+    settings, full_rate, fraction = state.settings, capacity(state, now, gate), call_fraction(state, now)
+    if gate.slow_start_at is not None and now >= (warmed_up_at := gate.slow_start_at + settings.warm_up):
+        gate.overloaded_until = max(gate.overloaded_until, warmed_up_at + OVERLOADED_FOR * state.window)
         gate.slow_start_at = None
     short, overloaded = gate.available_circuits < settings.fleet_size, now < gate.overloaded_until
     if not (short or overloaded or gate.slow_start_at is not None):
@@ -202,14 +202,14 @@
         return True
     used = gate.circuits - gate.available_circuits
     rate = used / state.holding_time + gate.available_circuits / state.window if short else 1e9
-    rate = min(rate, HEADROOM * max(gate.max_rate / 1000, warm_rate)) if overloaded else rate
+    rate = min(rate, HEADROOM * max(gate.max_rate / 1000, full_rate)) if overloaded else rate
     lifetime = 2 / (fraction * max(rate, 1e-9))
     if gate.slow_start_at is not None:
         # Within one overload_window, the softswitches can use the permits issued in it, and those issued up
         # to one lifetime before it.
         level = settings.initial_capacity ** (1 - (now - gate.slow_start_at) / settings.warm_up)
         budget = settings.overload_factor * SLOW_START_SAFETY / (1 + SLOW_START_LIFETIME)
-        rate, lifetime = min(rate, budget * level * warm_rate), settings.overload_window * SLOW_START_LIFETIME
+        rate, lifetime = min(rate, budget * level * full_rate), settings.overload_window * SLOW_START_LIFETIME
         fraction = state.constraints.share(
             i.SHARED_SLOW_START, gate.server, fraction * settings.slow_start_share
         )
--- a/softswitch/policy/state.py
+++ b/softswitch/policy/state.py
@@ -71,10 +71,10 @@
         self.connection_failed_at = self.probed_at = self.capacity_at = LONG_AGO
         self.closed_until = self.overloaded_until = LONG_AGO  # by its retry_after; by a delay or report
         self.tolerated_wait = self.fastest_answer = 0.0  # ms; a few waiting call setups are no overload
-        self.slow_start_at: float | None = None  # start of its warm-up; None: warm
+        self.slow_start_at: float | None = None  # start of its warm-up; None: warmed up
         self.circuits, self.available_circuits = endpoint.weight, 1e12  # of its cell
         self.max_used_circuits, self.circuits_reported_at = 0.0, LONG_AGO  # the maximum decays slowly
-        self.capacity = self.max_rate = 0.0  # call setups per ms when warm; max per s reported, decaying
+        self.capacity = self.max_rate = 0.0  # call setups per ms once warmed up; max per s reported, decaying
 
     def observe(self, now: float, delay: float) -> None:
         """Records the delay of an answer; a long one marks the endpoint as overloaded."""
