--- a/softswitch/core/call_history.py
+++ b/softswitch/core/call_history.py
@@ -1,7 +1,8 @@
 """Bounded history of the most recent calls, to diagnose those that failed.
 
-Disabled unless the operator file enables it (`calls = {...}`). A call has a few short entries. The calls
-untouched for longest are dropped first; a call with many entries keeps its first and last ones.
+Disabled unless the operator file enables it (`calls = {...}`). A call has a few events, each a short record.
+The calls whose last event is the oldest are dropped first. A call with many events keeps its first and last
+ones.
 """
 
 from __future__ import annotations
@@ -11,35 +12,35 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-FIRST_ENTRIES = 8  # kept per call; entries between these and the last ones are only counted
-LAST_ENTRIES = 24
-CONNECTION_ENTRIES = 20 * LAST_ENTRIES  # kept for all links and connections together
-CONNECTIONS = ""  # the id under which entries of links and connections are added
+FIRST_EVENTS = 8  # kept per call; events between these and the last ones are only counted
+LAST_EVENTS = 24
+CONNECTION_EVENTS = 20 * LAST_EVENTS  # kept for all links and connections together
+CONNECTIONS = ""  # the id under which events of links and connections are added
 
 
 @dataclass(slots=True)
-class Entry:
+class TraceEvent:
     """One event of a call or a connection."""
 
     at: float  # ms
-    event: str
+    name: str
     detail: str  # place or parameters of the event; empty: none
 
 
 @dataclass(slots=True)
 class CallTrace:
-    """Entries of one call, or of all connections."""
+    """Events of one call, or of all connections."""
 
-    first: list[Entry] = field(default_factory=list)
-    last: list[Entry] = field(default_factory=list)
-    omitted: int = 0  # number of entries dropped between `first` and `last`
+    first: list[TraceEvent] = field(default_factory=list)
+    last: list[TraceEvent] = field(default_factory=list)
+    omitted: int = 0  # number of events dropped between `first` and `last`
 
-    def add(self, entry: Entry, max_last: int = LAST_ENTRIES) -> None:
-        """Adds an entry. Beyond the limits, the middle entries are dropped."""
-        if len(self.first) < FIRST_ENTRIES:
-            self.first.append(entry)
+    def add(self, event: TraceEvent, max_last: int = LAST_EVENTS) -> None:
+        """Adds an event. Beyond the limits, the middle events are dropped."""
+        if len(self.first) < FIRST_EVENTS:
+            self.first.append(event)
             return
-        self.last.append(entry)
+        self.last.append(event)
         if len(self.last) > max_last:
             del self.last[0]
             self.omitted += 1
@@ -51,17 +52,17 @@
     def __init__(self, clock: Callable[[], float], max_calls: int) -> None:
         self.clock = clock
         self.max_calls = max_calls
-        self.calls: OrderedDict[str, CallTrace] = OrderedDict()  # the one untouched for longest first
+        self.calls: OrderedDict[str, CallTrace] = OrderedDict()  # the one with the oldest last event first
         self.connections = CallTrace()
         self.dropped = 0
-        self.changed: dict[str, None] = {}  # ids with new entries since the last `pop_changed`
+        self.changed: dict[str, None] = {}  # ids with new events since the last `pop_changed`
 
-    def note(self, call: str, event: str, detail: str = "") -> None:
-        """Adds an entry to the trace of a call, or of the connections if `call` is CONNECTIONS."""
-        entry = Entry(self.clock(), event, detail)
+    def note(self, call: str, name: str, detail: str = "") -> None:
+        """Adds an event to the trace of a call, or of the connections if `call` is CONNECTIONS."""
+        event = TraceEvent(self.clock(), name, detail)
         self.changed[call] = None
         if call == CONNECTIONS:
-            self.connections.add(entry, CONNECTION_ENTRIES)
+            self.connections.add(event, CONNECTION_EVENTS)
             return
         trace = self.calls.get(call)
         if trace is None:
@@ -72,10 +73,10 @@
                 self.dropped += 1
         else:
             self.calls.move_to_end(call)
-        trace.add(entry)
+        trace.add(event)
 
     def pop_changed(self, limit: int) -> list[str]:
-        """Removes and returns up to `limit` ids with new entries, the oldest first."""
+        """Removes and returns up to `limit` ids with new events, the oldest first."""
         popped = list(self.changed)[:limit]
         for call in popped:
             del self.changed[call]
@@ -89,12 +90,12 @@
         return {
             "call": call or "links",
             "left_out": trace.omitted,
-            "life": [_report_entry(entry, offset) for entry in (*trace.first, *trace.last)],
+            "life": [_report_event(event, offset) for event in (*trace.first, *trace.last)],
         }
 
 
-def _report_entry(entry: Entry, offset: float) -> dict[str, Any]:
-    reported: dict[str, Any] = {"ms": round(entry.at + offset, 1), "what": entry.event}
-    if entry.detail:
-        reported["where"] = entry.detail
+def _report_event(event: TraceEvent, offset: float) -> dict[str, Any]:
+    reported: dict[str, Any] = {"ms": round(event.at + offset, 1), "what": event.name}
+    if event.detail:
+        reported["where"] = event.detail
     return reported
--- a/tests/test_call_history.py
+++ b/tests/test_call_history.py
@@ -7,7 +7,7 @@
 
 from support.harness import Stage, call_id
 
-from softswitch.core.call_history import FIRST_ENTRIES, LAST_ENTRIES, CallHistory
+from softswitch.core.call_history import FIRST_EVENTS, LAST_EVENTS, CallHistory
 
 CALL = """
     c0 send INVITE 1
@@ -33,8 +33,8 @@
         at[0] = float(n)
         history.note(call_id(4), "again", str(n))
     report = history.report(call_id(4), 1000.0)
-    assert len(report["life"]) == FIRST_ENTRIES + LAST_ENTRIES
-    assert report["left_out"] == 101 - FIRST_ENTRIES - LAST_ENTRIES
+    assert len(report["life"]) == FIRST_EVENTS + LAST_EVENTS
+    assert report["left_out"] == 101 - FIRST_EVENTS - LAST_EVENTS
     assert report["life"][0] == {"ms": 1000.0, "what": "set-up"}
     assert report["life"][-1]["where"] == "99"
     assert history.report(call_id(0)) is None
