--- a/softswitch/core/policy_executor.py
+++ b/softswitch/core/policy_executor.py
@@ -75,7 +75,7 @@
 
     def start(self) -> None:
         """Carries out the actions that the decision module returns at its start."""
-        self._carry_out(self.controller.start(self.wheel.now))
+        self._execute(self.controller.start(self.wheel.now))
 
     # settings and constraints
 
@@ -130,11 +130,11 @@
                     self.counters[Count.POLICY_ERRORS] += 1
                     logger.error("decision module raised {!r} while handling {}", e, type(event).__name__)
                 else:
-                    self._carry_out(actions)
+                    self._execute(actions)
         finally:
             self._handling = False
 
-    def _carry_out(self, actions: Iterable[i.Action]) -> None:
+    def _execute(self, actions: Iterable[i.Action]) -> None:
         for action in actions:
             execute = self._executors.get(type(action))
             if execute is not None:
--- a/softswitch/net/budgets.py
+++ b/softswitch/net/budgets.py
@@ -179,7 +179,7 @@
         except PlanError as e:
             logger.error("budgets: new plan rejected, the old one stays in use: {}", e)
             return "budgets"
-        self._carry_out(self.client.change_plan(boot_time_ms(), plan))
+        self._execute(self.client.change_plan(boot_time_ms(), plan))
         self.spending.set_plan(self.client.plan)
         if self.client.plan != plan:
             delayed += " and " * bool(delayed) + "the definition of a budget or a raised floor"
@@ -215,7 +215,7 @@
 
     def _phase_changed(self, phase: Phase) -> None:
         if phase is Phase.STOPPING and self.peers.datagram_port is not None:
-            self._carry_out(self.client.stop(boot_time_ms()))
+            self._execute(self.client.stop(boot_time_ms()))
 
     # timers
 
@@ -231,7 +231,7 @@
             return
         now = boot_time_ms()
         if self.peers.datagram_port is not None:  # otherwise another process acts for this member
-            self._carry_out(self.client.tick(now))
+            self._execute(self.client.tick(now))
         self._schedule(now)
 
     def _schedule(self, now: float) -> None:
@@ -255,10 +255,10 @@
                 )
             return
         now = boot_time_ms()
-        self._carry_out(self.client.message_received(now, message))
+        self._execute(self.client.message_received(now, message))
         self._schedule(now)
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SendMessage):
                 sent = self.peers.send_component_message(
--- a/softswitch/net/peers.py
+++ b/softswitch/net/peers.py
@@ -288,7 +288,7 @@
     def reload(self, table: Any, settings: Any) -> str:
         """Applies changed settings. Returns the table's name if a change of it needs a restart."""
         self.fleet_size.configured = settings.fleet_size
-        self._carry_out(
+        self._execute(
             self.member.update_configuration(self.wheel.now, self.host.version, settings_digest(settings))
         )
         self.applied_size = settings.fleet_size  # the reload has already applied it to the switch
@@ -356,14 +356,14 @@
             self.handed_over = False
             self._bind()
         if phase is Phase.STOPPING and not self.handed_over:
-            self._carry_out(self.member.leave(self.wheel.now))
+            self._execute(self.member.leave(self.wheel.now))
 
     # timers
 
     def _tick(self, due: float) -> None:
         if self.datagram_port is None or (due != self.next_tick_at and self.next_tick_at > self.wheel.now):
             return
-        self._carry_out(self.member.tick(self.wheel.now))
+        self._execute(self.member.tick(self.wheel.now))
 
     def _schedule_tick(self) -> None:
         """Schedules the member's next tick. Timers are not cancelled: `_tick` ignores an obsolete one."""
@@ -413,7 +413,7 @@
             if receiver is not None and (message.fleet, message.format) == (self.table.name, FORMAT):
                 receiver(message.body)
             return None
-        self._carry_out(self.member.datagram_received(now, message))
+        self._execute(self.member.datagram_received(now, message))
         return None
 
     def count_undecodable(self, reason: str) -> None:
@@ -427,7 +427,7 @@
     def exchange_message_received(self, message: Any) -> Any:
         """Returns this member's answer to a message of an exchange, or None."""
         answer, actions = self.member.exchange_message_received(self.wheel.now, message)
-        self._carry_out(actions)
+        self._execute(actions)
         return answer
 
     # sent messages
@@ -436,7 +436,7 @@
         host, _, port = self.table.dial.get(address, address).rpartition(":")
         return host, int(port)
 
-    def _carry_out(self, actions: list[Any]) -> None:
+    def _execute(self, actions: list[Any]) -> None:
         size_may_change = False
         for a in actions:
             if isinstance(a, Send):
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -96,7 +96,7 @@
     assert len(b.records_of("send_setup")) == 1
     b.run(60.0)
     assert len(b.records_of("send_setup")) == 2
-    b.switch._carry_out([i.SendAttempt(ONE, A)])  # as if the module requested it
+    b.switch._execute([i.SendAttempt(ONE, A)])  # as if the module requested it
     assert len(b.records_of("send_setup")) == 2
     assert b.switch.counters["guard: not owed or already out"] == 1
 
