--- a/softswitch/core/policy_executor.py
+++ b/softswitch/core/policy_executor.py
@@ -160,7 +160,7 @@
         if self.history:
             self.history.note(action.call, "attempt", f"{call.attempt} {action.server} {action.timeout:.0f}")
         if action.timeout > 0:
-            self.wheel.call_at(now + action.timeout, self._attempt_timed_out, action.call, call.attempt)
+            self.wheel.call_at(now + action.timeout, self._handle_attempt_timeout, action.call, call.attempt)
         self.engines.send_setup(action.server, call)
 
     def _may_send(self, call: Call, server: str) -> bool:
@@ -171,7 +171,7 @@
     def _cancel_attempt(self, action: i.CancelAttempt) -> None:
         self._abort_attempt(action.call, action.attempt, i.Outcome.CANCELLED)
 
-    def _attempt_timed_out(self, call_id: str, attempt: int) -> None:
+    def _handle_attempt_timeout(self, call_id: str, attempt: int) -> None:
         self._abort_attempt(call_id, attempt, i.Outcome.TIMEOUT)
 
     def _abort_attempt(self, call_id: str, attempt: int, outcome: i.Outcome) -> None:
--- a/softswitch/net/handover.py
+++ b/softswitch/net/handover.py
@@ -239,9 +239,9 @@
         """
         self.on_search_end = on_end
         PredecessorSearch(self, paths).try_next()
-        self.reactor.callLater(ANSWER_TIMEOUT, self._search_timed_out)
+        self.reactor.callLater(ANSWER_TIMEOUT, self._handle_search_timeout)
 
-    def _search_timed_out(self) -> None:
+    def _handle_search_timeout(self) -> None:
         if self.on_search_end is not None:
             logger.warning("handover: the predecessor does not answer")
             if self.channel is not None:
--- a/softswitch/net/sip_server.py
+++ b/softswitch/net/sip_server.py
@@ -246,7 +246,7 @@
         else:
             connection.transport.loseConnection()
 
-    def _close_timed_out(self, connection: SipConnection, reason: str) -> None:
+    def _close_on_timeout(self, connection: SipConnection, reason: str) -> None:
         self.switch.counters[CountFamily.CONNECTIONS_CLOSED + reason] += 1
         if connection.message_started_at is not None and connection.message.start_line:
             connection.answer(408, connection.message)
@@ -268,12 +268,12 @@
         while connection := self.connections.idle_too_long(now):
             self._close_unless_read(connection, "idle")
         for connection in self.connections.stalled_first_messages(now):
-            self._close_timed_out(connection, "silent")
+            self._close_on_timeout(connection, "silent")
 
     def _close_unless_read(self, connection: SipConnection, reason: str) -> None:
         self.connections.untrack(connection)
         if connection.read_pending():
-            self._close_timed_out(connection, reason)
+            self._close_on_timeout(connection, reason)
         elif self.is_open(connection) and not connection.is_closing and not connection.is_new:
             self.update_idle(connection)
 
