--- a/softswitch/core/release_delivery.py
+++ b/softswitch/core/release_delivery.py
@@ -94,7 +94,7 @@
             state = self.connections[connection] = ConnectionState()
         return state
 
-    def set_backpressured(self, connection: Connection, backpressured: bool) -> None:
+    def record_backpressure(self, connection: Connection, backpressured: bool) -> None:
         """Records whether the caller has stopped reading."""
         if connection in self.connections:
             self.connections[connection].backpressured = backpressured
--- a/softswitch/net/engine_connection.py
+++ b/softswitch/net/engine_connection.py
@@ -47,7 +47,7 @@
     def partial_release_received(self, release: Release) -> None:
         """Called for a truncated release, the rest of which will not arrive."""
 
-    def set_backpressured(self, backpressured: bool) -> None:
+    def backpressure_changed(self, backpressured: bool) -> None:
         """Called when the write buffer is full (True) and when it has drained (False)."""
 
 
@@ -154,11 +154,11 @@
 
     def pauseProducing(self) -> None:
         """Called by Twisted when the write buffer is full, because the engine reads too slowly."""
-        self.owner.set_backpressured(True)
+        self.owner.backpressure_changed(True)
 
     def resumeProducing(self) -> None:
         """Called by Twisted when the write buffer has drained."""
-        self.owner.set_backpressured(False)
+        self.owner.backpressure_changed(False)
 
     def stopProducing(self) -> None:
         """Called by Twisted."""
--- a/softswitch/net/engine_link.py
+++ b/softswitch/net/engine_link.py
@@ -229,7 +229,7 @@
             if self._is_needed():
                 self.open()
 
-    def set_backpressured(self, backpressured: bool) -> None:
+    def backpressure_changed(self, backpressured: bool) -> None:
         """Called when the write buffer of the connection is full (True) or has drained (False)."""
         self._backpressured = backpressured
         if not backpressured:
--- a/softswitch/net/listening_connection.py
+++ b/softswitch/net/listening_connection.py
@@ -94,7 +94,7 @@
         """Called for a piece of a message, which counts as a sign of life."""
         self.link.engine_active()
 
-    def set_backpressured(self, backpressured: bool) -> None:
+    def backpressure_changed(self, backpressured: bool) -> None:
         """Does nothing, because no messages are queued for this connection."""
 
     def partial_release_received(self, release: Release) -> None:
--- a/softswitch/net/sip_server.py
+++ b/softswitch/net/sip_server.py
@@ -144,7 +144,7 @@
 
     def backpressure_changed(self, connection: SipConnection, backpressured: bool) -> None:
         """Records whether the caller reads its responses; releases avoid connections that are not read."""
-        self.releases.queue.set_backpressured(connection, backpressured)
+        self.releases.queue.record_backpressure(connection, backpressured)
 
     # deferred reading
 
--- a/tests/test_engine_link.py
+++ b/tests/test_engine_link.py
@@ -71,10 +71,10 @@
     bench = LinkBench()
     connection, call = bench.connect_link(), bench.requested_call()
     bench.link.send_setup(call)
-    bench.link.set_backpressured(True)
+    bench.link.backpressure_changed(True)
     bench.link.send_release(Release(ONE, CANCELLED))
     bench.link.send_setup(call)
-    bench.link.set_backpressured(False)
+    bench.link.backpressure_changed(False)
     assert connection.written == [("SETUP", ONE), ("RELEASE", ONE), ("SETUP", ONE)]
     assert bench.link.in_flight == {ONE}
 
@@ -83,12 +83,12 @@
     bench = LinkBench()
     connection, call = bench.connect_link(), bench.requested_call()
     bench.link.send_setup(call)
-    bench.link.set_backpressured(True)
+    bench.link.backpressure_changed(True)
     bench.link.send_release(Release(ONE, CANCELLED))
     bench.link.send_setup(call)
     assert bench.link.withdraw_setup(ONE)
     assert not bench.link.withdraw_setup(ONE)
-    bench.link.set_backpressured(False)
+    bench.link.backpressure_changed(False)
     assert connection.written == [("SETUP", ONE), ("RELEASE", ONE)]
 
 
--- a/tests/test_release_delivery.py
+++ b/tests/test_release_delivery.py
@@ -81,7 +81,7 @@
                 self.queue.caller_active(self.now, rng.choice(sorted(set(connections) - self.silent)))
             )
         elif action == "backpressure" and connections:
-            self.queue.set_backpressured(rng.choice(connections), rng.random() < 0.5)
+            self.queue.record_backpressure(rng.choice(connections), rng.random() < 0.5)
         else:
             self.pass_time(rng.choice((1, 10, 60)))
 
