--- a/softswitch/budgets/spending.py
+++ b/softswitch/budgets/spending.py
@@ -97,9 +97,9 @@
         self.uses: dict[str, BudgetUse] = {}  # by budget
         self.call_uses: list[BudgetUse] = []  # checked when a call arrives
         self.attempt_uses: list[BudgetUse] = []  # checked before each attempt
-        self.set_plan(plan)
+        self.apply_plan(plan)
 
-    def set_plan(self, plan: Plan) -> None:
+    def apply_plan(self, plan: Plan) -> None:
         """Replaces the plan. Counted uses are retained: a budget's window does not change."""
         previous, self.uses = self.uses, {}
         for budget in plan.budgets:
--- a/softswitch/core/figures.py
+++ b/softswitch/core/figures.py
@@ -50,10 +50,10 @@
         self.relayed_of_dropped_rows = 0
         self.cfg_accepted = 0  # configurations applied at SIGHUP
         self.cfg_invalid = 0
-        self.set_classes(classes)
+        self.replace_classes(classes)
 
-    def set_classes(self, classes: Iterable[str]) -> None:
-        """Sets the classes of the settings. Keeps the newest MAX_REMOVED_CLASSES rows of removed classes."""
+    def replace_classes(self, classes: Iterable[str]) -> None:
+        """Replaces the current classes. Keeps the newest MAX_REMOVED_CLASSES rows of removed classes."""
         self.current = dict.fromkeys(classes)
         for name in self.current:
             self.rows[name] = self.rows.pop(name) if name in self.rows else ClassFigures()
--- a/softswitch/core/policy_executor.py
+++ b/softswitch/core/policy_executor.py
@@ -89,7 +89,7 @@
     def apply_settings(self, settings: i.Settings) -> None:
         """Applies new settings. Calls in progress keep their class and the smaller attempt limit."""
         self.settings = self._adapted(settings)
-        self.figures.set_classes(self._class_names())
+        self.figures.replace_classes(self._class_names())
         for call in self.calls.values():
             call.max_attempts = min(call.max_attempts, self.settings.max_attempts)
         self.limits.apply(self.settings)
--- a/softswitch/net/budgets.py
+++ b/softswitch/net/budgets.py
@@ -54,7 +54,7 @@
         self.previous_fraction = 0.0
         self.changed_at = now
 
-    def set(self, now: float, fraction: float) -> None:
+    def update(self, now: float, fraction: float) -> None:
         """Sets the fraction that this process has from now on."""
         if fraction != self.fraction:
             self.previous_fraction = self.usable(now, self.max_cooldown)
@@ -76,9 +76,9 @@
         self.times: dict[str, deque[float]] = {}
         super().__init__(plan, held, clock)
 
-    def set_plan(self, plan: Plan) -> None:
-        """As `Spending.set_plan`. Recorded times are retained."""
-        super().set_plan(plan)
+    def apply_plan(self, plan: Plan) -> None:
+        """As `Spending.apply_plan`. Recorded times are retained."""
+        super().apply_plan(plan)
         for budget in plan.budgets:
             self.times.setdefault(budget.name, deque(maxlen=self.limit))
 
@@ -141,7 +141,7 @@
             fraction = switch.slow_start_share
         else:
             fraction = 0.0
-        self.floor_fraction.set(now, fraction)
+        self.floor_fraction.update(now, fraction)
 
     def held(self, now: float, name: str) -> int:
         """Slots that this process may use now: its floor and its lease."""
@@ -180,7 +180,7 @@
             logger.error("budgets: new plan rejected, the old one stays in use: {}", e)
             return "budgets"
         self._execute(self.client.change_plan(boot_time_ms(), plan))
-        self.spending.set_plan(self.client.plan)
+        self.spending.apply_plan(self.client.plan)
         if self.client.plan != plan:
             delayed += " and " * bool(delayed) + "the definition of a budget or a raised floor"
         return delayed
--- a/softswitch/standin/faults/budget_simulation.py
+++ b/softswitch/standin/faults/budget_simulation.py
@@ -223,7 +223,7 @@
         node.plan = plan
         if node.up and node.spending is not None:
             self._do(node, node.client.change_plan(node.clock(), plan))
-            node.spending.set_plan(node.client.plan)
+            node.spending.apply_plan(node.client.plan)
 
     # links
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -412,11 +412,11 @@
 
 def test_gained_floor_fractions_cool_down_also_after_a_second_gain():
     floors = FloorFraction(0.0, 4_000.0)
-    floors.set(0.0, 0.5)
+    floors.update(0.0, 0.5)
     assert floors.usable(3_999.0, 4_000.0) == 0.0
     assert floors.usable(4_000.0, 4_000.0) == 0.5
-    floors.set(1_600.0, 1.0)
+    floors.update(1_600.0, 1.0)
     assert floors.usable(1_600.0, 4_000.0) == 0.0
     assert floors.usable(5_600.0, 4_000.0) == 1.0
-    floors.set(9_000.0, 0.5)  # a lower fraction applies at once
+    floors.update(9_000.0, 0.5)  # a lower fraction applies at once
     assert floors.usable(9_000.0, 4_000.0) == 0.5
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -72,7 +72,7 @@
     figures = Figures(["c0"])
     for n in range(3 * MAX_REMOVED_CLASSES):
         figures.for_class(f"c{n}").relayed += 1
-        figures.set_classes([f"c{n + 1}"])
+        figures.replace_classes([f"c{n + 1}"])
     report = figures.report(0, 0, 0)
     assert len(report["operations"]) == MAX_REMOVED_CLASSES + 1
     assert report["relayed"] == 3 * MAX_REMOVED_CLASSES
