--- a/softswitch/core/release_delivery.py
+++ b/softswitch/core/release_delivery.py
@@ -112,10 +112,10 @@
             release = self.pending[call]
             release.connection = None
             release.tried.discard(connection)
-            other = self._best_connection()
-            if other is not None:
+            target = self._best_connection()
+            if target is not None:
                 self.moved += 1
-                messages.append(self._send(now, call, other))
+                messages.append(self._send(now, call, target))
         return messages
 
     # releases
@@ -159,10 +159,10 @@
         messages = []
         for call, release in self.pending.items():
             if self._retry_due(now, release):
-                other = self._best_connection(release.tried)
-                if other is not None:
+                target = self._best_connection(release.tried)
+                if target is not None:
                     self.retried += 1
-                    messages.append(self._send(now, call, other))
+                    messages.append(self._send(now, call, target))
         return messages
 
     @staticmethod
--- a/softswitch/net/peers.py
+++ b/softswitch/net/peers.py
@@ -56,7 +56,7 @@
     fleet: str
     key: str
     incarnation: int
-    other_addresses: tuple[str, ...]
+    peer_addresses: tuple[str, ...]
 
 
 class DatagramSocket(DatagramProtocol):
@@ -190,7 +190,7 @@
             settings_digest(host.settings),
             host.management_address,
         )
-        seeds = dict.fromkeys((*table.seeds, *(previous.other_addresses if previous else ())))
+        seeds = dict.fromkeys((*table.seeds, *(previous.peer_addresses if previous else ())))
         periods = Periods(period=table.period_ms, ack_timeout=table.answer_ms)
         self.member = Member(table.name, me, seeds, periods, random.getrandbits(64), self.wheel.now)
         deadline = max((c.deadline for c in host.settings.classes), default=0.0) or DEFAULT_CALL_DEADLINE
--- a/softswitch/net/sip_calls.py
+++ b/softswitch/net/sip_calls.py
@@ -83,7 +83,7 @@
         self.releases = releases
         self.idle_tracker = idle_tracker
         self.pending: dict[str, PendingSetup] = {}
-        self._other = Method(self._reject_method, "other", sent_by_callers=False)
+        self._unsupported_method = Method(self._reject_method, "other", sent_by_callers=False)
         self.established: dict[str, EstablishedCall] = {}
         self._methods = {  # any other method is answered 405
             "INVITE": Method(self._invite, "INVITE", answered_at_once=False),
@@ -98,7 +98,7 @@
 
     def handle(self, connection: SipConnection, request: SipRequest) -> None:
         """Counts a request and carries it out."""
-        method = self._methods.get(request.method, self._other)
+        method = self._methods.get(request.method, self._unsupported_method)
         self.switch.counters[method.counter] += 1
         if method.sent_by_callers:
             self._caller_active(connection)
--- a/softswitch/net/sip_connection_table.py
+++ b/softswitch/net/sip_connection_table.py
@@ -129,8 +129,8 @@
             > (FIRST_MESSAGE_TIMEOUT if now - last_data_at > PIECE_TIMEOUT else MESSAGE_TIMEOUT)
         ]
 
-    def other_active(self, connection: SipConnection) -> bool:
-        """Whether releases can go out on another connection."""
+    def has_active_besides(self, connection: SipConnection) -> bool:
+        """Whether a caller is active on another open connection, so that releases can go out there."""
         return any(
             other.caller_active_at is not None and not other.is_closing
             for other in self.all
--- a/softswitch/net/sip_server.py
+++ b/softswitch/net/sip_server.py
@@ -207,7 +207,7 @@
         """Whether releases of established calls can go out on this connection alone."""
         if connection.caller_active_at is None or not self.calls.established:
             return False
-        return not self.connections.other_active(connection)
+        return not self.connections.has_active_besides(connection)
 
     def _close_all_idle(self) -> None:
         now = self.wheel.now
