--- a/softswitch/core/policy_executor.py
+++ b/softswitch/core/policy_executor.py
@@ -95,10 +95,10 @@
         self.limits.apply(self.settings)
         self._feed(i.SettingsChanged(self.settings))
 
-    def apply_slow_start_share(self, share: float) -> None:
-        """Sets this process's share of the call setups that the softswitch may send to warming engines."""
-        self.slow_start_share = share
-        self.settings = replace(self.settings, slow_start_share=share)
+    def apply_slow_start_share(self, fraction: float) -> None:
+        """Sets the fraction of the softswitch's call setups to warming engines that this process may send."""
+        self.slow_start_share = fraction
+        self.settings = replace(self.settings, slow_start_share=fraction)
         self._feed(i.SettingsChanged(self.settings))
 
     def apply_fleet_size(self, size: int) -> None:
--- a/softswitch/net/engine_link.py
+++ b/softswitch/net/engine_link.py
@@ -69,12 +69,12 @@
 
 def encode_setup(call: Call, now: float) -> bytes:
     """Encodes the setup message of a call, including the remaining time until its caller gives up."""
-    request, time_left = call.request, max(1.0, call.deadline - now)
+    request, remaining = call.request, max(1.0, call.deadline - now)
     return encode_message(
         MessageType.SETUP,
         request.call,
         (Parameter.CALL_CLASS, request.call_class.encode()),
-        (Parameter.TIME_LEFT, b"%d" % time_left),
+        (Parameter.TIME_LEFT, b"%d" % remaining),
         (Parameter.NUMBER, request.number.encode()),
         (Parameter.DESCRIPTION, request.description),
     )
--- a/softswitch/net/handover.py
+++ b/softswitch/net/handover.py
@@ -37,7 +37,7 @@
 MAX_SOCKETS_TRIED = 4  # including stale socket files
 MAX_LISTENERS = 4
 MAX_ADDRESS = 107  # bytes in the address of a Unix socket
-MAX_LINE = 1_024  # bytes
+MAX_MESSAGE = 1_024  # bytes of one line of the channel
 ANSWER_TIMEOUT = 1.5  # s for the predecessor to hand over
 REPORT_INTERVAL = 100.0  # ms between two reports of the number of open connections
 # Fraction of the softswitch's rate to warming engines that each process may use while there are two
@@ -97,7 +97,7 @@
     """One end of the connection between the two processes of a softswitch."""
 
     delimiter = b"\n"
-    MAX_LENGTH = MAX_LINE
+    MAX_LENGTH = MAX_MESSAGE
 
     def __init__(self, handover: Handover) -> None:
         self.handover = handover
--- a/softswitch/net/sip_codec.py
+++ b/softswitch/net/sip_codec.py
@@ -72,9 +72,9 @@
         """Whether this is a response to a request that the softswitch sent."""
         return self.start_line.startswith("SIP/")
 
-    def add_header(self, line: str) -> None:
-        """Adds one header line."""
-        name, colon, value = line.partition(":")
+    def add_header(self, header: str) -> None:
+        """Adds one header, given as its line."""
+        name, colon, value = header.partition(":")
         if not colon:
             raise SipParseError("header line without a colon")
         name = COMMON_SPELLINGS.get(name) or normalized_name(name)
--- a/softswitch/net/sip_connection.py
+++ b/softswitch/net/sip_connection.py
@@ -17,8 +17,8 @@
 )
 from softswitch.net.twisted_internals import has_unwritten_bytes, read_now
 
-LINE_END = b"\r\n"
-LINE_END_SIZE = len(LINE_END)
+CRLF = b"\r\n"
+CRLF_SIZE = len(CRLF)
 # Penalty points since the last established call at which a connection is closed: 16 unusable messages, or 64
 # call setups of an unknown class.
 MAX_PENALTY = 16.0
@@ -78,7 +78,7 @@
     """One SIP connection from a caller."""
 
     MAX_LENGTH = MAX_MESSAGE
-    delimiter = LINE_END
+    delimiter = CRLF
 
     def __init__(self, owner: ConnectionOwner) -> None:
         self.owner = owner
@@ -219,7 +219,7 @@
         if self.closing_started_at is not None:
             return
         message = self.message
-        message.size += len(line) + LINE_END_SIZE
+        message.size += len(line) + CRLF_SIZE
         text = line.decode("latin-1")
         try:
             if message.size > MAX_MESSAGE:
