--- a/softswitch/core/timer_wheel.py
+++ b/softswitch/core/timer_wheel.py
@@ -74,8 +74,8 @@
         if self.idle_until > self.now + self.tick:
             self._read()
 
-    def elapsed_since_read(self) -> float:
-        """Returns the ms since the last reading, which is the duration of the event loop's turn so far."""
+    def elapsed_in_turn(self) -> float:
+        """Returns the ms since the last reading: the duration of the event loop's turn so far."""
         return self._clock() - self.now
 
     def run_due(self) -> None:
--- a/softswitch/net/call_history.py
+++ b/softswitch/net/call_history.py
@@ -26,7 +26,7 @@
         self.writing = self.failing = False
         wheel = host.switch.wheel
         self.history = host.switch.history = CallHistory(
-            lambda: wheel.now + wheel.elapsed_since_read(), table.keep
+            lambda: wheel.now + wheel.elapsed_in_turn(), table.keep
         )
         host.management_routes["/v1/calls/"] = ManagementRoute("GET", self.handle_request)
 
--- a/softswitch/net/sip_connection.py
+++ b/softswitch/net/sip_connection.py
@@ -276,7 +276,7 @@
             self.owner.response_received(self, message)
             return
         self.owner.request_received(self, parse_request(message, body))
-        if self.closing_started_at is None and self.wheel.elapsed_since_read() > TURN_BUDGET:
+        if self.closing_started_at is None and self.wheel.elapsed_in_turn() > TURN_BUDGET:
             self.more_unread = True  # data that arrives while deferred waits unread
             self.owner.defer(self)
             super().pauseProducing()
--- a/softswitch/net/sip_server.py
+++ b/softswitch/net/sip_server.py
@@ -160,7 +160,7 @@
 
     def _resume_deferred(self) -> None:
         waiting, self.connections.deferred = self.connections.deferred, {}
-        while waiting and self.wheel.elapsed_since_read() <= TURN_BUDGET / 2:
+        while waiting and self.wheel.elapsed_in_turn() <= TURN_BUDGET / 2:
             connection = next(iter(waiting))
             del waiting[connection]
             connection.resume_deferred()
--- a/softswitch/process/ticker.py
+++ b/softswitch/process/ticker.py
@@ -68,4 +68,4 @@
 
     def _delay(self, when: float) -> float:
         """Returns the seconds until `when`."""
-        return max(0.0, when - self.wheel.now - self.wheel.elapsed_since_read()) / 1000.0
+        return max(0.0, when - self.wheel.now - self.wheel.elapsed_in_turn()) / 1000.0
