--- a/softswitch/core/switch.py
+++ b/softswitch/core/switch.py
@@ -171,7 +171,7 @@
     def _release_at_every_engine(self, call_id: str, cause: int) -> bool:
         """Sends a caller's release of a call that the predecessor may have to every engine.
 
-        Returns False if the predecessor cannot have the call, or at the bound on such releases.
+        Returns False if the predecessor cannot have the call, or if the limit on such releases is reached.
         """
         if not self._may_be_predecessors(call_id) or not self.predecessor.may_broadcast(
             self.wheel.now, call_id
--- a/softswitch/core/timer_wheel.py
+++ b/softswitch/core/timer_wheel.py
@@ -65,12 +65,12 @@
     def _read(self) -> None:
         before = self.now
         self.now = max(before, self._clock())
-        # the reading is late even for the end of the idle time
+        # no tick was due before `idle_until`, so time up to then is no stall
         stalled = self.now - max(before, self.idle_until) > self.tick
         self.lag = max(0.0, self.now - before - self.tick) if stalled else 0.0
 
     def read_after_idle(self) -> None:
-        """Reads the clock when input arrives in an idle time; until its end, input is read without delay."""
+        """Reads the clock when input arrives in an idle time, during which input is read without delay."""
         if self.idle_until > self.now + self.tick:
             self._read()
 
--- a/softswitch/net/budgets.py
+++ b/softswitch/net/budgets.py
@@ -1,8 +1,8 @@
 """Transport of the budgets: messages inside the fleet's datagrams, and constraints for the decision module.
 
 This module makes no protocol decisions: it passes events to `budgets.lease_client.LeaseClient` and carries
-out the returned actions. The clock is never set and continues while the machine sleeps; it is read anew for
-every event and every query of the decision module.
+out the returned actions. The clock is never set and continues while the machine sleeps; it is read for each
+event and each query of the decision module.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
 
 
 class RecordedSpending(Spending):
-    """Spending that records the times of the last uses, for drills that sum them up over all processes."""
+    """Spending that records the times of the last uses. Drills sum them up over all processes."""
 
     def __init__(self, plan: Plan, held: Any, clock: Any, limit: int) -> None:
         self.limit = limit
--- a/softswitch/net/peers.py
+++ b/softswitch/net/peers.py
@@ -46,7 +46,8 @@
 BIND_RETRY_INTERVAL = 100.0  # ms; the predecessor process may still have the address bound
 SNAPSHOT_INTERVAL = 2_000.0  # ms
 SNAPSHOT_TYPE, SNAPSHOT_VERSION, MAX_SAVED_ADDRESSES = 1, 1, 256  # the last: addresses of other members
-# ms; the default applies if no call class has a deadline
+# Ms. An ended member counts in the fleet size for the longest deadline of a call plus this margin. The
+# default applies if no call class has a deadline.
 LINGER_MARGIN, DEFAULT_CALL_DEADLINE = 1_000.0, 9_000.0
 
 
--- a/softswitch/net/sip_connection.py
+++ b/softswitch/net/sip_connection.py
@@ -27,8 +27,8 @@
 READ_SIZE = 16_384  # max bytes of one read
 MAX_UNREAD_TIME = 500.0  # max ms that data behind a full read is assumed to have waited
 MAX_READS_AHEAD = 8  # further reads after a stale one
-# Ms that data waited unread after which its caller may have given up in the meantime: call setups in it are
-# routed only after the rest of what the caller sent has been read.
+# Data that waited unread for more ms than this is stale: its caller may have given up in the meantime. Call
+# setups in it are routed only after the rest of the data from the caller has been read.
 STALE_AFTER = 100.0
 
 
--- a/softswitch/net/sip_server.py
+++ b/softswitch/net/sip_server.py
@@ -17,7 +17,7 @@
 from softswitch.net.sip_connection import TURN_BUDGET, SipConnection
 from softswitch.net.sip_connection_table import MESSAGE_TIMEOUT, ConnectionTable
 
-ACCEPTS_PER_TURN = 8  # connections accepted in one turn of the event loop, and 20 more at most
+ACCEPTS_PER_TURN = 8  # connections accepted in one turn of the event loop; Twisted may add up to 20
 MAX_SHED_TRIES = 8  # connections examined to find one that can be shed
 SWEEP_INTERVAL = 250.0  # ms between two checks of the connections
 CLOSE_TIMEOUT = 1_000.0  # ms from the start of a close to an abort
--- a/softswitch/policy/controller.py
+++ b/softswitch/policy/controller.py
@@ -4,10 +4,10 @@
 from softswitch.policy import endpoints
 from softswitch.policy.state import LONG_AGO, Call, Gate, State
 
-SWEEP_INTERVAL = 25.0  # ms; the sweep timer runs for two of these while calls are queued, otherwise for four
+SWEEP_INTERVAL = 25.0  # ms; the sweep timer is set to two of these while calls are queued, otherwise four
 SWEEP_TOKEN = 0  # of the sweep timer; timers of calls count from 1
 STALL_THRESHOLD = 100.0  # ms; a timer that fires later than this shows a stall of this process
-ANSWER_RESERVE = 0.15  # fraction of the objective left for the answer when a call leaves a silent endpoint
+ANSWER_RESERVE = 0.15  # fraction of the objective reserved for the next answer when an attempt is cancelled
 MAX_FAILED_GATES = 1  # if more endpoints answer a call with an error, the call itself is taken to be invalid
 
 
@@ -56,7 +56,7 @@
         return self.actions
 
     def _detect_stall(self, now: float) -> None:
-        """Detects a stall of this process by an overdue timer, to discount it from endpoints' delays."""
+        """Detects a stall of this process by an overdue timer; excludes it from the delays of endpoints."""
         overdue = self.sweep_due is not None and now - self.sweep_due > STALL_THRESHOLD
         stalled = self.stalled_for = now - self.last_event_at if overdue else 0.0
         self.last_event_at = now
@@ -87,7 +87,7 @@
         self.next_token += 1
         self.queued[call.id] = call
         self.constraints.attempt_wanted(call_class.name, False, call_class.priority_weight)
-        if call.weight > self.max_blocked_weight:  # else queued calls go first, within a sweep
+        if call.weight > self.max_blocked_weight:  # otherwise queued calls go first, within a sweep
             self._try(now, call)
         self._stack(now, call)
 
@@ -142,7 +142,7 @@
         return any(g.is_open(now, limit) for g in gates if lost or g is not gate)
 
     def _serve_queue(self, now: float) -> None:
-        """Sends the queued calls that find an open gate, highest weight first; gives up those out of time."""
+        """Sends the queued calls that find an open gate, highest weight first; gives up late ones."""
         self.max_blocked_weight, self.served_at = -1.0, now
         to_stack, self.delayed = self.delayed, []
         sweep = now >= self.swept_at + min(SWEEP_INTERVAL, len(self.queued) / 20)
@@ -180,7 +180,7 @@
         if gate is not None:
             self._send(now, call, gate)
         elif ready and now >= call.give_up_at:
-            self._give_up(call)  # calls wait here, as those that wait at an endpoint are retransmitted
+            self._give_up(call)  # calls wait here: those that wait at an endpoint are retransmitted
         elif ready:
             self.max_blocked_weight = max(self.max_blocked_weight, call.weight)
         return gate is not None
--- a/softswitch/policy/endpoints.py
+++ b/softswitch/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""Tracks the endpoints, this softswitch's fraction of their capacity, and selects an endpoint for a call."""
+"""Tracks the endpoints and this softswitch's fraction of their capacity; selects an endpoint for a call."""
 
 from math import exp, sqrt
 
@@ -8,12 +8,12 @@
 MIN_WAIT, MAX_WAIT = 0.08, 0.15  # fractions of the objective that calls may wait at an endpoint, by weight
 PROBE_INTERVAL = 1000.0  # ms between probes of a closed gate
 PROBE_FRACTION = 0.2  # the probes of all softswitches, as a fraction of the endpoint's capacity
-TOLERATED_QUEUE = 3.0  # this many call setups waiting at an endpoint are no overload
+TOLERATED_QUEUE = 3.0  # call setups that may wait at an endpoint without counting as overload
 HEADROOM = 1.25  # rate of call setups to an overloaded endpoint, as a multiple of its known capacity
 SLOW_START_SAFETY = 0.85  # fraction of the slow start budget that is used: the estimates are rough
 SLOW_START_LIFETIME = 0.25  # fraction of overload_window after which an unused slow start permit expires
 MIN_USED = 0.1  # minimum fraction of its circuits that an endpoint is assumed to fill, without observations
-MAX_REMOVED_GATES = 8  # retained: the circuits used in their cell indicate the capacity of a replacement
+MAX_REMOVED_GATES = 8  # retained: the circuits used in their cells indicate the capacity of replacements
 
 
 def count_failure(state: State, gate: Gate) -> None:
@@ -50,7 +50,7 @@
     if gate.answered_at > LONG_AGO:
         gate.answer_interval += (now - gate.answered_at - gate.answer_interval) / 5
     gate.answered_at = now
-    if gate.circuits_reported_at == LONG_AGO:  # assumes that all softswitches have equally many calls
+    if gate.circuits_reported_at == LONG_AGO:  # assumed: all softswitches have equally many calls
         used = gate.established * state.settings.fleet_size
         gate.max_used_circuits = max(0.98 * gate.max_used_circuits, used)
     if sent_at is None:
@@ -160,8 +160,8 @@
 def call_fraction(state: State, now: float) -> float:
     """This softswitch's fraction of all calls; the fractions of all softswitches add up to 1.
 
-    It is the mean of two fractions: one divided by the number of softswitches, and this softswitch's fraction
-    of the established calls.
+    It is the mean of an equal fraction for each softswitch and of this one's fraction of the established
+    calls.
     """
     if now - state.call_fraction_at > state.window / 2:
         gates, equal_fraction = state.gates.values(), 1 / state.settings.fleet_size
