--- a/softswitch/core/policy_executor.py
+++ b/softswitch/core/policy_executor.py
@@ -75,7 +75,7 @@
 
     def start(self) -> None:
         """Carries out the actions that the decision module returns at its start."""
-        self._carry_out(self.controller.start(self.wheel.now))
+        self._execute(self.controller.start(self.wheel.now))
 
     # settings and constraints
 
@@ -89,16 +89,16 @@
     def apply_settings(self, settings: i.Settings) -> None:
         """Applies new settings. Calls in progress keep their class and the smaller attempt limit."""
         self.settings = self._adapted(settings)
-        self.figures.set_classes(self._class_names())
+        self.figures.replace_classes(self._class_names())
         for call in self.calls.values():
             call.max_attempts = min(call.max_attempts, self.settings.max_attempts)
         self.limits.apply(self.settings)
         self._feed(i.SettingsChanged(self.settings))
 
-    def apply_slow_start_share(self, share: float) -> None:
-        """Sets this process's share of the call setups that the softswitch may send to warming engines."""
-        self.slow_start_share = share
-        self.settings = replace(self.settings, slow_start_share=share)
+    def apply_slow_start_share(self, fraction: float) -> None:
+        """Sets the fraction of the softswitch's call setups to warming engines that this process may send."""
+        self.slow_start_share = fraction
+        self.settings = replace(self.settings, slow_start_share=fraction)
         self._feed(i.SettingsChanged(self.settings))
 
     def apply_fleet_size(self, size: int) -> None:
@@ -130,11 +130,11 @@
                     self.counters[Count.POLICY_ERRORS] += 1
                     logger.error("decision module raised {!r} while handling {}", e, type(event).__name__)
                 else:
-                    self._carry_out(actions)
+                    self._execute(actions)
         finally:
             self._handling = False
 
-    def _carry_out(self, actions: Iterable[i.Action]) -> None:
+    def _execute(self, actions: Iterable[i.Action]) -> None:
         for action in actions:
             execute = self._executors.get(type(action))
             if execute is not None:
@@ -160,7 +160,7 @@
         if self.history:
             self.history.note(action.call, "attempt", f"{call.attempt} {action.server} {action.timeout:.0f}")
         if action.timeout > 0:
-            self.wheel.call_at(now + action.timeout, self._attempt_timed_out, action.call, call.attempt)
+            self.wheel.call_at(now + action.timeout, self._handle_attempt_timeout, action.call, call.attempt)
         self.engines.send_setup(action.server, call)
 
     def _may_send(self, call: Call, server: str) -> bool:
@@ -171,7 +171,7 @@
     def _cancel_attempt(self, action: i.CancelAttempt) -> None:
         self._abort_attempt(action.call, action.attempt, i.Outcome.CANCELLED)
 
-    def _attempt_timed_out(self, call_id: str, attempt: int) -> None:
+    def _handle_attempt_timeout(self, call_id: str, attempt: int) -> None:
         self._abort_attempt(call_id, attempt, i.Outcome.TIMEOUT)
 
     def _abort_attempt(self, call_id: str, attempt: int, outcome: i.Outcome) -> None:
--- a/softswitch/net/budgets.py
+++ b/softswitch/net/budgets.py
@@ -1,8 +1,8 @@
 """Transport of the budgets: messages inside the fleet's datagrams, and constraints for the decision module.
 
 This module makes no protocol decisions: it passes events to `budgets.lease_client.LeaseClient` and carries
-out the returned actions. The clock is never set and continues while the machine sleeps; it is read anew for
-every event and every query of the decision module.
+out the returned actions. The clock is never set and continues while the machine sleeps; it is read for each
+event and each query of the decision module.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
         self.previous_fraction = 0.0
         self.changed_at = now
 
-    def set(self, now: float, fraction: float) -> None:
+    def update(self, now: float, fraction: float) -> None:
         """Sets the fraction that this process has from now on."""
         if fraction != self.fraction:
             self.previous_fraction = self.usable(now, self.max_cooldown)
@@ -69,16 +69,16 @@
 
 
 class RecordedSpending(Spending):
-    """Spending that records the times of the last uses, for drills that sum them up over all processes."""
+    """Spending that records the times of the last uses. Drills sum them up over all processes."""
 
     def __init__(self, plan: Plan, held: Any, clock: Any, limit: int) -> None:
         self.limit = limit
         self.times: dict[str, deque[float]] = {}
         super().__init__(plan, held, clock)
 
-    def set_plan(self, plan: Plan) -> None:
-        """As `Spending.set_plan`. Recorded times are retained."""
-        super().set_plan(plan)
+    def apply_plan(self, plan: Plan) -> None:
+        """As `Spending.apply_plan`. Recorded times are retained."""
+        super().apply_plan(plan)
         for budget in plan.budgets:
             self.times.setdefault(budget.name, deque(maxlen=self.limit))
 
@@ -141,7 +141,7 @@
             fraction = switch.slow_start_share
         else:
             fraction = 0.0
-        self.floor_fraction.set(now, fraction)
+        self.floor_fraction.update(now, fraction)
 
     def held(self, now: float, name: str) -> int:
         """Slots that this process may use now: its floor and its lease."""
@@ -179,8 +179,8 @@
         except PlanError as e:
             logger.error("budgets: new plan rejected, the old one stays in use: {}", e)
             return "budgets"
-        self._carry_out(self.client.change_plan(boot_time_ms(), plan))
-        self.spending.set_plan(self.client.plan)
+        self._execute(self.client.change_plan(boot_time_ms(), plan))
+        self.spending.apply_plan(self.client.plan)
         if self.client.plan != plan:
             delayed += " and " * bool(delayed) + "the definition of a budget or a raised floor"
         return delayed
@@ -215,7 +215,7 @@
 
     def _phase_changed(self, phase: Phase) -> None:
         if phase is Phase.STOPPING and self.peers.datagram_port is not None:
-            self._carry_out(self.client.stop(boot_time_ms()))
+            self._execute(self.client.stop(boot_time_ms()))
 
     # timers
 
@@ -231,7 +231,7 @@
             return
         now = boot_time_ms()
         if self.peers.datagram_port is not None:  # otherwise another process acts for this member
-            self._carry_out(self.client.tick(now))
+            self._execute(self.client.tick(now))
         self._schedule(now)
 
     def _schedule(self, now: float) -> None:
@@ -255,10 +255,10 @@
                 )
             return
         now = boot_time_ms()
-        self._carry_out(self.client.message_received(now, message))
+        self._execute(self.client.message_received(now, message))
         self._schedule(now)
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SendMessage):
                 sent = self.peers.send_component_message(
--- a/softswitch/net/peers.py
+++ b/softswitch/net/peers.py
@@ -46,7 +46,8 @@
 BIND_RETRY_INTERVAL = 100.0  # ms; the predecessor process may still have the address bound
 SNAPSHOT_INTERVAL = 2_000.0  # ms
 SNAPSHOT_TYPE, SNAPSHOT_VERSION, MAX_SAVED_ADDRESSES = 1, 1, 256  # the last: addresses of other members
-# ms; the default applies if no call class has a deadline
+# Ms. An ended member counts in the fleet size for the longest deadline of a call plus this margin. The
+# default applies if no call class has a deadline.
 LINGER_MARGIN, DEFAULT_CALL_DEADLINE = 1_000.0, 9_000.0
 
 
@@ -56,7 +57,7 @@
     fleet: str
     key: str
     incarnation: int
-    other_addresses: tuple[str, ...]
+    peer_addresses: tuple[str, ...]
 
 
 class DatagramSocket(DatagramProtocol):
@@ -190,7 +191,7 @@
             settings_digest(host.settings),
             host.management_address,
         )
-        seeds = dict.fromkeys((*table.seeds, *(previous.other_addresses if previous else ())))
+        seeds = dict.fromkeys((*table.seeds, *(previous.peer_addresses if previous else ())))
         periods = Periods(period=table.period_ms, ack_timeout=table.answer_ms)
         self.member = Member(table.name, me, seeds, periods, random.getrandbits(64), self.wheel.now)
         deadline = max((c.deadline for c in host.settings.classes), default=0.0) or DEFAULT_CALL_DEADLINE
@@ -288,7 +289,7 @@
     def reload(self, table: Any, settings: Any) -> str:
         """Applies changed settings. Returns the table's name if a change of it needs a restart."""
         self.fleet_size.configured = settings.fleet_size
-        self._carry_out(
+        self._execute(
             self.member.update_configuration(self.wheel.now, self.host.version, settings_digest(settings))
         )
         self.applied_size = settings.fleet_size  # the reload has already applied it to the switch
@@ -356,14 +357,14 @@
             self.handed_over = False
             self._bind()
         if phase is Phase.STOPPING and not self.handed_over:
-            self._carry_out(self.member.leave(self.wheel.now))
+            self._execute(self.member.leave(self.wheel.now))
 
     # timers
 
     def _tick(self, due: float) -> None:
         if self.datagram_port is None or (due != self.next_tick_at and self.next_tick_at > self.wheel.now):
             return
-        self._carry_out(self.member.tick(self.wheel.now))
+        self._execute(self.member.tick(self.wheel.now))
 
     def _schedule_tick(self) -> None:
         """Schedules the member's next tick. Timers are not cancelled: `_tick` ignores an obsolete one."""
@@ -413,7 +414,7 @@
             if receiver is not None and (message.fleet, message.format) == (self.table.name, FORMAT):
                 receiver(message.body)
             return None
-        self._carry_out(self.member.datagram_received(now, message))
+        self._execute(self.member.datagram_received(now, message))
         return None
 
     def count_undecodable(self, reason: str) -> None:
@@ -427,7 +428,7 @@
     def exchange_message_received(self, message: Any) -> Any:
         """Returns this member's answer to a message of an exchange, or None."""
         answer, actions = self.member.exchange_message_received(self.wheel.now, message)
-        self._carry_out(actions)
+        self._execute(actions)
         return answer
 
     # sent messages
@@ -436,7 +437,7 @@
         host, _, port = self.table.dial.get(address, address).rpartition(":")
         return host, int(port)
 
-    def _carry_out(self, actions: list[Any]) -> None:
+    def _execute(self, actions: list[Any]) -> None:
         size_may_change = False
         for a in actions:
             if isinstance(a, Send):
--- a/softswitch/net/sip_connection.py
+++ b/softswitch/net/sip_connection.py
@@ -17,8 +17,8 @@
 )
 from softswitch.net.twisted_internals import has_unwritten_bytes, read_now
 
-LINE_END = b"\r\n"
-LINE_END_SIZE = len(LINE_END)
+CRLF = b"\r\n"
+CRLF_SIZE = len(CRLF)
 # Penalty points since the last established call at which a connection is closed: 16 unusable messages, or 64
 # call setups of an unknown class.
 MAX_PENALTY = 16.0
@@ -27,8 +27,8 @@
 READ_SIZE = 16_384  # max bytes of one read
 MAX_UNREAD_TIME = 500.0  # max ms that data behind a full read is assumed to have waited
 MAX_READS_AHEAD = 8  # further reads after a stale one
-# Ms that data waited unread after which its caller may have given up in the meantime: call setups in it are
-# routed only after the rest of what the caller sent has been read.
+# Data that waited unread for more ms than this is stale: its caller may have given up in the meantime. Call
+# setups in it are routed only after the rest of the data from the caller has been read.
 STALE_AFTER = 100.0
 
 
@@ -78,7 +78,7 @@
     """One SIP connection from a caller."""
 
     MAX_LENGTH = MAX_MESSAGE
-    delimiter = LINE_END
+    delimiter = CRLF
 
     def __init__(self, owner: ConnectionOwner) -> None:
         self.owner = owner
@@ -219,7 +219,7 @@
         if self.closing_started_at is not None:
             return
         message = self.message
-        message.size += len(line) + LINE_END_SIZE
+        message.size += len(line) + CRLF_SIZE
         text = line.decode("latin-1")
         try:
             if message.size > MAX_MESSAGE:
@@ -276,7 +276,7 @@
             self.owner.response_received(self, message)
             return
         self.owner.request_received(self, parse_request(message, body))
-        if self.closing_started_at is None and self.wheel.elapsed_since_read() > TURN_BUDGET:
+        if self.closing_started_at is None and self.wheel.elapsed_in_turn() > TURN_BUDGET:
             self.more_unread = True  # data that arrives while deferred waits unread
             self.owner.defer(self)
             super().pauseProducing()
--- a/softswitch/net/sip_server.py
+++ b/softswitch/net/sip_server.py
@@ -17,7 +17,7 @@
 from softswitch.net.sip_connection import TURN_BUDGET, SipConnection
 from softswitch.net.sip_connection_table import MESSAGE_TIMEOUT, ConnectionTable
 
-ACCEPTS_PER_TURN = 8  # connections accepted in one turn of the event loop, and 20 more at most
+ACCEPTS_PER_TURN = 8  # connections accepted in one turn of the event loop; Twisted may add up to 20
 MAX_SHED_TRIES = 8  # connections examined to find one that can be shed
 SWEEP_INTERVAL = 250.0  # ms between two checks of the connections
 CLOSE_TIMEOUT = 1_000.0  # ms from the start of a close to an abort
@@ -144,7 +144,7 @@
 
     def backpressure_changed(self, connection: SipConnection, backpressured: bool) -> None:
         """Records whether the caller reads its responses; releases avoid connections that are not read."""
-        self.releases.queue.set_backpressured(connection, backpressured)
+        self.releases.queue.record_backpressure(connection, backpressured)
 
     # deferred reading
 
@@ -160,7 +160,7 @@
 
     def _resume_deferred(self) -> None:
         waiting, self.connections.deferred = self.connections.deferred, {}
-        while waiting and self.wheel.elapsed_since_read() <= TURN_BUDGET / 2:
+        while waiting and self.wheel.elapsed_in_turn() <= TURN_BUDGET / 2:
             connection = next(iter(waiting))
             del waiting[connection]
             connection.resume_deferred()
@@ -207,7 +207,7 @@
         """Whether releases of established calls can go out on this connection alone."""
         if connection.caller_active_at is None or not self.calls.established:
             return False
-        return not self.connections.other_active(connection)
+        return not self.connections.has_active_besides(connection)
 
     def _close_all_idle(self) -> None:
         now = self.wheel.now
@@ -246,7 +246,7 @@
         else:
             connection.transport.loseConnection()
 
-    def _close_timed_out(self, connection: SipConnection, reason: str) -> None:
+    def _close_on_timeout(self, connection: SipConnection, reason: str) -> None:
         self.switch.counters[CountFamily.CONNECTIONS_CLOSED + reason] += 1
         if connection.message_started_at is not None and connection.message.start_line:
             connection.answer(408, connection.message)
@@ -268,12 +268,12 @@
         while connection := self.connections.idle_too_long(now):
             self._close_unless_read(connection, "idle")
         for connection in self.connections.stalled_first_messages(now):
-            self._close_timed_out(connection, "silent")
+            self._close_on_timeout(connection, "silent")
 
     def _close_unless_read(self, connection: SipConnection, reason: str) -> None:
         self.connections.untrack(connection)
         if connection.read_pending():
-            self._close_timed_out(connection, reason)
+            self._close_on_timeout(connection, reason)
         elif self.is_open(connection) and not connection.is_closing and not connection.is_new:
             self.update_idle(connection)
 
--- a/softswitch/policy/endpoints.py
+++ b/softswitch/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""Tracks the endpoints, this softswitch's fraction of their capacity, and selects an endpoint for a call."""
+"""Tracks the endpoints and this softswitch's fraction of their capacity; selects an endpoint for a call."""
 
 from math import exp, sqrt
 
@@ -7,13 +7,13 @@
 
 MIN_WAIT, MAX_WAIT = 0.08, 0.15  # fractions of the objective that calls may wait at an endpoint, by weight
 PROBE_INTERVAL = 1000.0  # ms between probes of a closed gate
-PROBE_SHARE = 0.2  # the probes of all softswitches, as a fraction of the endpoint's capacity
-TOLERATED_QUEUE = 3.0  # this many call setups waiting at an endpoint are no overload
+PROBE_FRACTION = 0.2  # the probes of all softswitches, as a fraction of the endpoint's capacity
+TOLERATED_QUEUE = 3.0  # call setups that may wait at an endpoint without counting as overload
 HEADROOM = 1.25  # rate of call setups to an overloaded endpoint, as a multiple of its known capacity
 SLOW_START_SAFETY = 0.85  # fraction of the slow start budget that is used: the estimates are rough
 SLOW_START_LIFETIME = 0.25  # fraction of overload_window after which an unused slow start permit expires
 MIN_USED = 0.1  # minimum fraction of its circuits that an endpoint is assumed to fill, without observations
-MAX_REMOVED_GATES = 8  # retained: the circuits used in their cell indicate the capacity of a replacement
+MAX_REMOVED_GATES = 8  # retained: the circuits used in their cells indicate the capacity of replacements
 
 
 def count_failure(state: State, gate: Gate) -> None:
@@ -50,7 +50,7 @@
     if gate.answered_at > LONG_AGO:
         gate.answer_interval += (now - gate.answered_at - gate.answer_interval) / 5
     gate.answered_at = now
-    if gate.circuits_reported_at == LONG_AGO:  # assumes that all softswitches have equally many calls
+    if gate.circuits_reported_at == LONG_AGO:  # assumed: all softswitches have equally many calls
         used = gate.established * state.settings.fleet_size
         gate.max_used_circuits = max(0.98 * gate.max_used_circuits, used)
     if sent_at is None:
@@ -63,7 +63,7 @@
         gate.estimate.delay, gate.estimate.in_flight = max(gate.estimate.delay, state.max_objective), 0.0
         gate.closed_until = now + event.retry_after
     elif outcome is i.Outcome.REJECTED:
-        gate.free_circuits = 0.0
+        gate.available_circuits = 0.0
     elif outcome is not i.Outcome.ERROR:
         gate.failures /= 2
         # After a stall, the answer may have waited unread in this process.
@@ -85,7 +85,7 @@
             gate = state.gates[e.server] = Gate(e, state.window)
             if known is not None:
                 gate.in_flight, gate.max_used_circuits = known.in_flight, known.max_used_circuits
-                gate.circuits, gate.free_circuits = known.circuits, known.free_circuits
+                gate.circuits, gate.available_circuits = known.circuits, known.available_circuits
         gate.state, gate.cell, gate.started_at = e.state, e.cell, e.started_at
         if restarted and e.started_at and now - e.started_at < state.settings.warm_up:
             enter_slow_start(state, gate, e.started_at)
@@ -102,10 +102,10 @@
     )
     if gate is None:
         return
-    if report.circuits >= 0 and report.free_circuits >= 0:
-        used = gate.circuits - gate.free_circuits
+    if report.circuits >= 0 and report.available_circuits >= 0:
+        used = gate.circuits - gate.available_circuits
         age = min(now - gate.circuits_reported_at, state.holding_time)
-        freed, expected = report.free_circuits - gate.free_circuits, used * age / state.holding_time
+        freed, expected = report.available_circuits - gate.available_circuits, used * age / state.holding_time
         unsolicited = isinstance(event, i.LoadReported) and gate.state is i.EndpointState.READY
         if (
             unsolicited
@@ -114,14 +114,14 @@
             and len(gates_of_cell(state, gate)) == 1
         ):
             enter_slow_start(state, gate, now)  # far more calls ended than expected: the endpoint was down
-        gate.circuits, gate.free_circuits = report.circuits, report.free_circuits
+        gate.circuits, gate.available_circuits = report.circuits, report.available_circuits
         gate.circuits_reported_at = now
         decayed = gate.max_used_circuits * exp(-age / (2 * state.holding_time))
-        gate.max_used_circuits = max(gate.circuits - gate.free_circuits, decayed)
+        gate.max_used_circuits = max(gate.circuits - gate.available_circuits, decayed)
     wait = report.wait
     if report.rate >= 0:
-        since = max(gate.estimate.reported_at, now - state.window)
-        gate.max_rate = max(report.rate, gate.max_rate * exp((since - now) / 15 / state.window))
+        decays_from = max(gate.estimate.reported_at, now - state.window)
+        gate.max_rate = max(report.rate, gate.max_rate * exp((decays_from - now) / 15 / state.window))
         if wait < 0 and gate.max_rate > 0:
             wait = state.max_objective * max(0.0, 1 - 2 * report.rate / gate.max_rate)
             wait = 1000.0 * report.queue / gate.max_rate if report.queue >= 0 else wait
@@ -144,11 +144,11 @@
 
 
 def capacity(state: State, now: float, gate: Gate) -> float:
-    """Call setups per ms when warm, from the circuits seen in use in its cell or at the warm endpoints."""
+    """Call setups per ms once warmed up, from the circuits seen in use in its cell or at warm endpoints."""
     if now - gate.capacity_at > state.window / 2:
         ready = [g for g in state.gates.values() if g.state is i.EndpointState.READY]
-        warm_gates = [g for g in ready if g.slow_start_at is None and g.max_used_circuits > 0]
-        used = sum(g.max_used_circuits for g in warm_gates) / max(1.0, sum(g.circuits for g in warm_gates))
+        warmed_up = [g for g in ready if g.slow_start_at is None and g.max_used_circuits > 0]
+        used = sum(g.max_used_circuits for g in warmed_up) / max(1.0, sum(g.circuits for g in warmed_up))
         seen_used = max(g.max_used_circuits for g in gates_of_cell(state, gate))
         circuits = max(seen_used, gate.circuits * max(MIN_USED, used))
         gate.capacity, gate.capacity_at = max(circuits / state.holding_time, 1 / PROBE_INTERVAL), now
@@ -157,29 +157,30 @@
     return gate.capacity
 
 
-def call_share(state: State, now: float) -> float:
+def call_fraction(state: State, now: float) -> float:
     """This softswitch's fraction of all calls; the fractions of all softswitches add up to 1.
 
-    It is the mean of an equal share per softswitch and of its share of the established calls.
+    It is the mean of an equal fraction for each softswitch and of this one's fraction of the established
+    calls.
     """
-    if now - state.call_share_at > state.window / 2:
-        gates, equal_share = state.gates.values(), 1 / state.settings.fleet_size
-        used = {g.cell: g.circuits - g.free_circuits for g in gates if g.circuits_reported_at > LONG_AGO}
+    if now - state.call_fraction_at > state.window / 2:
+        gates, equal_fraction = state.gates.values(), 1 / state.settings.fleet_size
+        used = {g.cell: g.circuits - g.available_circuits for g in gates if g.circuits_reported_at > LONG_AGO}
         total, own = sum(used.values()), sum(g.established for g in gates)
-        by_calls = min(1.0, own / total) if total > 0 else equal_share
-        state.call_share, state.call_share_at = (equal_share + by_calls) / 2, now
-    return state.call_share
+        by_calls = min(1.0, own / total) if total > 0 else equal_fraction
+        state.call_fraction, state.call_fraction_at = (equal_fraction + by_calls) / 2, now
+    return state.call_fraction
 
 
 def probe_due(state: State, now: float, gate: Gate) -> bool:
     """Whether a closed gate may be probed: once per PROBE_INTERVAL.
 
-    The interval is longer where the probes of all softswitches would exceed PROBE_SHARE of the capacity.
+    The interval is longer where the probes of all softswitches would exceed PROBE_FRACTION of the capacity.
     """
     if now < gate.closed_until or (gate.failures >= EJECTION_FAILURES and gate.queued()):
         return False
-    share = state.constraints.share(i.SHARED_PROBES, gate.server, 1 / state.settings.fleet_size)
-    interval = max(PROBE_INTERVAL, 1 / max(1e-9, share * PROBE_SHARE * capacity(state, now, gate)))
+    fraction = state.constraints.share(i.SHARED_PROBES, gate.server, 1 / state.settings.fleet_size)
+    interval = max(PROBE_INTERVAL, 1 / max(1e-9, fraction * PROBE_FRACTION * capacity(state, now, gate)))
     if now - gate.probed_at > 2 * interval > 2 * PROBE_INTERVAL:  # random: not all probe at once
         gate.probed_at = now - interval * state.random.random()
     return now - gate.probed_at >= interval
@@ -191,26 +192,28 @@
     An endpoint that is short of circuits, overloaded or in slow start is paced: this softswitch sends
     only its fraction of the calls that the endpoint can take.
     """
-    settings, warm_rate, share = state.settings, capacity(state, now, gate), call_share(state, now)
-    if gate.slow_start_at is not None and now >= (warm_at := gate.slow_start_at + settings.warm_up):
-        gate.overloaded_until = max(gate.overloaded_until, warm_at + OVERLOADED_FOR * state.window)
+    settings, full_rate, fraction = state.settings, capacity(state, now, gate), call_fraction(state, now)
+    if gate.slow_start_at is not None and now >= (warmed_up_at := gate.slow_start_at + settings.warm_up):
+        gate.overloaded_until = max(gate.overloaded_until, warmed_up_at + OVERLOADED_FOR * state.window)
         gate.slow_start_at = None
-    short, overloaded = gate.free_circuits < settings.fleet_size, now < gate.overloaded_until
+    short, overloaded = gate.available_circuits < settings.fleet_size, now < gate.overloaded_until
     if not (short or overloaded or gate.slow_start_at is not None):
         gate.pacer.active = False
         return True
-    used = gate.circuits - gate.free_circuits
-    rate = used / state.holding_time + gate.free_circuits / state.window if short else 1e9
-    rate = min(rate, HEADROOM * max(gate.max_rate / 1000, warm_rate)) if overloaded else rate
-    lifetime = 2 / (share * max(rate, 1e-9))
+    used = gate.circuits - gate.available_circuits
+    rate = used / state.holding_time + gate.available_circuits / state.window if short else 1e9
+    rate = min(rate, HEADROOM * max(gate.max_rate / 1000, full_rate)) if overloaded else rate
+    lifetime = 2 / (fraction * max(rate, 1e-9))
     if gate.slow_start_at is not None:
         # Within one overload_window, the softswitches can use the permits issued in it, and those issued up
         # to one lifetime before it.
         level = settings.initial_capacity ** (1 - (now - gate.slow_start_at) / settings.warm_up)
         budget = settings.overload_factor * SLOW_START_SAFETY / (1 + SLOW_START_LIFETIME)
-        rate, lifetime = min(rate, budget * level * warm_rate), settings.overload_window * SLOW_START_LIFETIME
-        share = state.constraints.share(i.SHARED_SLOW_START, gate.server, share * settings.slow_start_share)
-    return gate.pacer.available(now, rate * share, lifetime, state.random.random()) >= 1
+        rate, lifetime = min(rate, budget * level * full_rate), settings.overload_window * SLOW_START_LIFETIME
+        fraction = state.constraints.share(
+            i.SHARED_SLOW_START, gate.server, fraction * settings.slow_start_share
+        )
+    return gate.pacer.available(now, rate * fraction, lifetime, state.random.random()) >= 1
 
 
 def wait_limit(state: State, call: Call) -> float:
--- a/softswitch/policy/state.py
+++ b/softswitch/policy/state.py
@@ -71,10 +71,10 @@
         self.connection_failed_at = self.probed_at = self.capacity_at = LONG_AGO
         self.closed_until = self.overloaded_until = LONG_AGO  # by its retry_after; by a delay or report
         self.tolerated_wait = self.fastest_answer = 0.0  # ms; a few waiting call setups are no overload
-        self.slow_start_at: float | None = None  # start of its warm-up; None: warm
-        self.circuits, self.free_circuits = endpoint.weight, 1e12  # of its cell
+        self.slow_start_at: float | None = None  # start of its warm-up; None: warmed up
+        self.circuits, self.available_circuits = endpoint.weight, 1e12  # of its cell
         self.max_used_circuits, self.circuits_reported_at = 0.0, LONG_AGO  # the maximum decays slowly
-        self.capacity = self.max_rate = 0.0  # call setups per ms when warm; max per s reported, decaying
+        self.capacity = self.max_rate = 0.0  # call setups per ms once warmed up; max per s reported, decaying
 
     def observe(self, now: float, delay: float) -> None:
         """Records the delay of an answer; a long one marks the endpoint as overloaded."""
@@ -126,7 +126,10 @@
         self.constraints: i.Constraints = i.UNLIMITED
         self.actions: list[i.Action] = []  # of the event being handled
         self.stalled_for = 0.0  # ms that this process was stalled just before the current time; 0: no stall
-        self.call_share, self.call_share_at = 1 / settings.fleet_size, LONG_AGO  # see endpoints.call_share
+        self.call_fraction, self.call_fraction_at = (
+            1 / settings.fleet_size,
+            LONG_AGO,
+        )  # see endpoints.call_fraction
         self.apply(settings)
 
     def apply(self, settings: i.Settings) -> None:
--- a/tests/test_call_history.py
+++ b/tests/test_call_history.py
@@ -3,10 +3,11 @@
 import json
 import subprocess
 import sys
+from importlib.util import find_spec
 
 from support.harness import Stage, call_id
 
-from softswitch.core.call_history import FIRST_ENTRIES, LAST_ENTRIES, CallHistory
+from softswitch.core.call_history import FIRST_EVENTS, LAST_EVENTS, CallHistory
 
 CALL = """
     c0 send INVITE 1
@@ -32,8 +33,8 @@
         at[0] = float(n)
         history.note(call_id(4), "again", str(n))
     report = history.report(call_id(4), 1000.0)
-    assert len(report["life"]) == FIRST_ENTRIES + LAST_ENTRIES
-    assert report["left_out"] == 101 - FIRST_ENTRIES - LAST_ENTRIES
+    assert len(report["life"]) == FIRST_EVENTS + LAST_EVENTS
+    assert report["left_out"] == 101 - FIRST_EVENTS - LAST_EVENTS
     assert report["life"][0] == {"ms": 1000.0, "what": "set-up"}
     assert report["life"][-1]["where"] == "99"
     assert history.report(call_id(0)) is None
@@ -85,16 +86,17 @@
 
 def test_importing_the_program_loads_no_optional_component():
     off = (
-        "parts",
-        "net.callbook",
+        "net.call_history",
+        "net.peers",
+        "net.budgets",
         "measure",
         "fleet",
-        "net.peers",
         "operator",
         "storage",
         "budgets",
-        "sites",
     )
+    # A name of a module that no longer exists would check nothing.
+    assert all(find_spec(f"softswitch.{name}") for name in off)
     code = (
         "import sys, softswitch.__main__; "
         f"off = tuple('softswitch.' + name for name in {off}) + ('msgspec', 'starlark'); "
