--- a/softswitch/fleet/member.py
+++ b/softswitch/fleet/member.py
@@ -3,11 +3,13 @@
 Events in, actions out. The protocol is SWIM (direct and indirect probes in shuffled rounds, suspicion,
 incarnations) with the three extensions of Lifeguard (probe timeouts that depend on the local health score,
 suspicion timeouts that shrink with each confirming member, notification of the suspect first), and exchanges
-of complete tables by digest as in Scuttlebutt. docs/design/fleet-view.md gives the reasons.
+that compare two tables by digests and send the differing records, as in Scuttlebutt.
+docs/design/fleet-view.md gives the reasons.
 
-Two rules are additions. After a stall (a paused or starved process) every running timeout is extended by the
-stall, and no member is suspected before its pending messages are read. A process that does not see a majority
-reports that it is cut off: it retains the others as suspects and declares none of them gone.
+Two rules go beyond these protocols. After a stall (a paused or starved process) every running timeout is
+extended by the stall, and no member is suspected before its pending messages are read. A process that does
+not see a majority of the members reports that it is cut off: unreachable members stay suspects, and it
+declares none of them gone.
 """
 
 from __future__ import annotations
@@ -42,16 +44,22 @@
     Updates,
 )
 
-HELPERS = 3  # members that are requested to probe indirectly
-ISOLATION_PERIODS = 6.0  # periods without any received message, after which this process is cut off
+# members that are requested to probe a silent member; also how many members a refutation or a retry goes to
+HELPERS = 3
+ISOLATION_PERIODS = 6.0  # probe periods without any received message after which this process is cut off
 MAX_HEALTH_SCORE = 8  # probe timeouts are multiplied by 1 + score
 PIGGYBACK = 8  # records piggybacked on a message: with the header they fit a datagram of 1,400 bytes
-RECENT_PROBES, DOUBT_HEALTH_SCORE = 4, 4  # own probes, and own score, that may show own isolation
-MEAN_QUERIERS = 20  # members, on average, that query a suspect at half of its suspicion time
+# This process may be isolated if half of its last RECENT_PROBES probes failed, or from this health score on.
+RECENT_PROBES, DOUBT_HEALTH_SCORE = 4, 4
+MEAN_QUERIERS = 20  # members, on average, that ping a suspect at half of its suspicion's duration
 MAX_BACKLOG = 4 * PIGGYBACK  # pending updates; above it an exchange of tables is cheaper
-CONFIRMATIONS = 3  # other members that confirm a suspicion, at which it has its minimum duration
+CONFIRMATIONS = 3  # number of confirming members at which a suspicion has its minimum duration
+# Counted for `GET /metrics`. "indirect": requests to helpers; "accused": failed probes after which this
+# process suspected the member; "refuted": received records of this member that it overruled; "standstills":
+# stalls; "gone": members that this process declared gone; "garbage": messages of a wrong type, or from an
+# earlier process of this member.
 COUNTERS = ("probes", "indirect", "accused", "refuted", "exchanges", "standstills", "gone", "garbage")
-MAX_INDIRECT_PROBES = 64  # running, on behalf of other members
+MAX_INDIRECT_PROBES = 64  # concurrent probes on behalf of other members
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,7 +104,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """For operators. `event` is one of 'accused', 'cut off', 'sees a majority', 'name taken', 'refused'."""
+    """A notice for operators, which is logged.
+
+    `event` is one of 'accused' (declared suspect or gone by others), 'cut off', 'sees a majority' (no longer
+    cut off), 'name taken' (a name conflict) and 'refused' (a rejected message).
+    """
 
     event: str
     details: str
@@ -109,13 +121,13 @@
 class Probe:
     """The running probe. Times in ms of this process's clock."""
 
-    key: str
+    key: str  # of the probed member
     seq: int
     ack_deadline: float  # of the direct probe
-    ends_at: float
+    ends_at: float  # when the probe has failed
     indirect_sent: bool = False
-    nacks: int = 0
-    helpers: int = 0
+    nacks: int = 0  # received from helpers
+    helpers: int = 0  # that were requested to probe the member
 
 
 @dataclass(slots=True)
@@ -126,12 +138,12 @@
     started_at: float
     min_duration: float
     max_duration: float
-    confirmers: set[str]  # other members whose own probes failed too
+    confirmers: set[str]  # keys of other members whose probes of it failed too
     not_before: float = 0.0  # earliest end
-    queries: int = 0  # pings that were sent to the suspect because of the suspicion
+    queries: int = 0  # pings sent to the suspect because of the suspicion
 
     def next_query_at(self) -> float:
-        """When the suspect is queried next: at half of the time, and again before it is declared gone."""
+        """When the suspect is pinged next: at half of the duration, and again before it is declared gone."""
         return self.started_at + (self.ends_at - self.started_at) / 2 if self.queries == 0 else self.ends_at
 
     @property
@@ -149,8 +161,8 @@
     """A probe on behalf of another member, the requester."""
 
     requester: str  # address
-    seq: int
-    nack_at: float
+    seq: int  # of the requester's PingRequest
+    nack_at: float  # when the requester gets a Nack; `ends_at` once it was sent
     ends_at: float
 
 
@@ -167,15 +179,15 @@
         self.table.put(now, self.me)
         self.actions: list[Action] = []
         self.health_score = 0  # 0: healthy; raised by signs that this process itself is slow or isolated
-        self.next_tick_due, self.started_at = now, now  # ms
-        self.next_early_exchange = now  # earliest exchange because of a differing digest
+        self.next_tick_due, self.started_at = now, now  # ms; a tick long after it is due shows a stall
+        self.next_early_exchange = now  # earliest time of an exchange because of a differing digest
         self.recent_probes: deque[bool] = deque(maxlen=RECENT_PROBES)  # whether they were acknowledged
-        self.own_suspects: dict[str, None] = {}  # keys of suspects whose own probe failed
+        self.own_suspects: dict[str, None] = {}  # keys of suspects that this process's probes did not reach
         # digest of the table that was counted; names present; names in total
         self.name_counts: tuple[int, int, int] = (-1, 0, 0)
         self.next_probe, self.next_exchange, self.next_retry = now, now, now
         self.probe: Probe | None = None
-        self.probe_round: list[str] = []
+        self.probe_round: list[str] = []  # keys of the members still to be probed in this round
         self.seq = self.rng.getrandbits(32)
         self.suspicions: dict[str, Suspicion] = {}
         self.indirect_probes: dict[int, IndirectProbe] = {}
@@ -184,7 +196,7 @@
         self.cut_off = False
         # keys of other members that claim this name; each is reported once
         self.name_conflicts: dict[str, None] = {}
-        self.rejections: dict[str, int] = {}
+        self.rejections: dict[str, int] = {}  # number of rejected messages by reason
         self.counts = dict.fromkeys(COUNTERS, 0)
 
     # sent messages
@@ -213,7 +225,7 @@
     # timers
 
     def next_at(self) -> float:
-        """The latest time of the next call of `tick`."""
+        """The time by which `tick` has to be called again."""
         due = [self.next_probe, self.next_exchange, self.next_retry]
         if self.probe is not None:
             due.append(self.probe.ends_at if self.probe.indirect_sent else self.probe.ack_deadline)
@@ -257,8 +269,8 @@
     def _compensate_for_stall(self, gap: float) -> None:
         """Extends all running timeouts by a stall, in which this process was paused or starved.
 
-        The running probe is dropped, because its answer may be unread. The stall also raises the own health
-        score.
+        The running probe is dropped, because its answer may be unread. The stall also raises the health score
+        of this process.
         """
         self.counts["standstills"] += 1
         self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
@@ -297,7 +309,7 @@
                     )
         if p is not None and now >= p.ends_at:
             self.probe = None
-            if not self._is_suspect(p.key):  # a suspect's silence is no sign of own isolation
+            if not self._is_suspect(p.key):  # a suspect's silence does not show that this process is isolated
                 self._probe_failed(p)
             self._accuse(now, p.key)
         if now >= self.next_probe and self.probe is None and not self.leaving:
@@ -312,7 +324,7 @@
             self._ping(target_key, self.probe.seq)
 
     def _probe_failed(self, probe: Probe) -> None:
-        """Raises the own health score by the helpers that sent no Nack.
+        """Raises the health score by the number of helpers that sent no Nack; without helpers by 1.
 
         A helper that is reachable reports with a Nack that its probe failed too. Missing Nacks, or no helpers
         at all, are a sign that this process itself is isolated.
@@ -331,8 +343,8 @@
         Each round probes every other member once, in a new random order. This bounds the time until some
         member detects a failure.
         """
-        for fresh in (False, True):
-            if fresh:
+        for new_round in (False, True):
+            if new_round:
                 self.probe_round = self._others((State.JOINING, State.ALIVE, State.SUSPECT))
                 self.rng.shuffle(self.probe_round)
             while self.probe_round:
@@ -398,11 +410,11 @@
         )
 
     def _check_majority(self, now: float) -> None:
-        """Updates `cut_off`: true without a majority of the members that did not leave.
+        """Updates `cut_off`: true unless a majority of the members that did not leave is present.
 
         It is also true if no message was received for ISOLATION_PERIODS. This member counts as present. Gone
-        members count in the total as long as their records are retained: otherwise a minority would shrink
-        the total until it is a majority of it.
+        members count in the total as long as their records are retained: otherwise a minority that declares
+        the others gone would become a majority of the remaining total.
         """
         if self.name_counts[0] != self.table.digest:
             present, absent = set(), set()
@@ -592,11 +604,11 @@
                 self.actions.append(MemberChanged(record, None if old is None else old.state))
 
     def _refute(self, now: float, record: Record) -> None:
-        """Overrules a received record of this member with a higher incarnation, unless it is the own or
-        older.
+        """Overrules a received record of this member by raising the incarnation.
 
-        Such records come from a restart without a snapshot, a clock that was set back, a suspicion, or the
-        end of an earlier incarnation.
+        Does nothing if the received record is this process's current one or an older one. Records to overrule
+        come from a restart without a snapshot, a clock that was set back, a suspicion, or the end of an
+        earlier incarnation.
         """
         if record.boot == self.me.boot and record.rank <= self.me.rank:
             return
@@ -623,7 +635,7 @@
             )
 
     def _update_own_record(self, now: float, **changes: object) -> None:
-        """Replaces the own record.
+        """Changes fields of this member's record.
 
         Callers raise the incarnation if the new record would not outrank the old one without it.
         """
@@ -672,5 +684,5 @@
         return counts
 
     def known_records(self) -> Iterable[Record]:
-        """All records, including those of ended members and the own one."""
+        """All records, including those of ended members and of this one."""
         return self.table.records.values()
--- a/softswitch/fleet/member_table.py
+++ b/softswitch/fleet/member_table.py
@@ -13,10 +13,11 @@
 from softswitch.fleet.messages import BUCKETS, ENDED, ID_BITS, Record, State
 
 DISSEMINATION_FACTOR = 3.0  # each member sends an update this many times log2 of the fleet size
-# ms for which the record of an ended member is retained; has to outlast a partition
+# ms for which a tombstone (the record of an ended member) is retained; has to outlast a partition
 TOMBSTONE_LIFETIME = 3_600_000.0
-TOMBSTONE_MARGIN = 60_000.0  # ms before their expiry, from which on tombstones are not accepted
-MAX_UPDATE_AGE = 10_000.0  # ms; older ends are not disseminated as updates but left to exchanges
+TOMBSTONE_MARGIN = 60_000.0  # ms; a tombstone that expires within this time is not accepted
+# ms; the record of a member that ended longer ago is not sent as an update, only in exchanges
+MAX_UPDATE_AGE = 10_000.0
 MAX_MEMBERS = 20_000  # including ended ones; further members are not accepted
 
 
@@ -32,23 +33,24 @@
 
 
 class MemberTable:
-    """The records of all other members and the own one."""
+    """The records of all known members, including this process's own."""
 
     def __init__(self) -> None:
         self.records: dict[str, Record] = {}
-        self.changed_at: dict[str, float] = {}  # ms; when the current state was set, by the own clock
-        self.digest = 0
-        self.buckets = [0] * BUCKETS
+        self.changed_at: dict[str, float] = {}  # by key: ms of this process's clock, start of the state
+        self.digest = 0  # the XOR of the digests of all records
+        self.buckets = [0] * BUCKETS  # the same for the records of each bucket
         self.keys_by_bucket: list[dict[str, None]] = [{} for _ in range(BUCKETS)]
         # updates still to disseminate: key, and how often the record was sent
         self.pending: dict[str, int] = {}
         self.count = dict.fromkeys(State, 0)
-        self.rejected = 0
+        self.rejected = 0  # records of new members that were not accepted because of MAX_MEMBERS
 
     def put(self, now: float, record: Record, age: float = 0.0) -> Record | None:
-        """Merges a record; `age`: ms since the member ended. Returns the record that was replaced.
+        """Merges a record and returns the record that it replaced. `age`: ms since the member ended.
 
-        None if the record changes nothing, or if there was none before: `key in records` tells which.
+        Returns None if the record was not merged, or if the member had no record before. To tell these apart,
+        the caller checks whether the key was and is in `records`.
         """
         key = record.key
         old = self.records.get(key)
@@ -58,7 +60,8 @@
             self.rejected += 1
             return None
         if old is None and record.state in ENDED and age >= TOMBSTONE_LIFETIME - TOMBSTONE_MARGIN:
-            # expired here or soon everywhere: members would send it to each other without end
+            # It has expired here, or soon will at every member. If it were accepted, members would send it to
+            # each other without end.
             return None
         bucket, change = bucket_of(key), digest_of(record)
         if old is not None:
@@ -95,7 +98,7 @@
                 self.drop(key)
 
     def next_updates(self, max_count: int, first: Iterable[str] = ()) -> tuple[Record, ...]:
-        """Up to `max_count` records to send now: the keys in `first`, then the least often sent updates."""
+        """Up to `max_count` records to send now: those with keys in `first`, then the least sent ones."""
         chosen = [key for key in first if key in self.records][:max_count]
         limit = ceil(DISSEMINATION_FACTOR * log2(len(self.records) + 1))
         rest = sorted((key for key in self.pending if key not in chosen), key=self.pending.__getitem__)
@@ -107,9 +110,9 @@
                     del self.pending[key]
         return tuple(self.records[key] for key in chosen)
 
-    def differing_buckets(self, buckets: Iterable[int]) -> tuple[int, ...]:
-        """The buckets whose digests differ from these."""
-        return tuple(n for n, digest in enumerate(buckets) if digest != self.buckets[n])
+    def differing_buckets(self, digests: Iterable[int]) -> tuple[int, ...]:
+        """The buckets whose digests differ from another table's, of which `digests` lists all in order."""
+        return tuple(n for n, digest in enumerate(digests) if digest != self.buckets[n])
 
     def records_in(self, buckets: Iterable[int]) -> tuple[Record, ...]:
         """All records in these buckets."""
--- a/softswitch/fleet/messages.py
+++ b/softswitch/fleet/messages.py
@@ -11,9 +11,10 @@
 
 from msgspec import Meta, Struct
 
-FORMAT = 1  # of these messages; messages of other formats are rejected with a reason
-ID_BITS = 62  # of digests and of boot ids
-BUCKETS = 64  # of a table; each is compared by its digest
+FORMAT = 1  # version of the message format; messages of other versions are rejected with a reason
+ID_BITS = 62  # size of digests and boot ids
+# A hash of its key assigns each member to a bucket. Two tables are compared by their buckets' digests.
+BUCKETS = 64
 
 Text = Annotated[str, Meta(min_length=1, max_length=64)]
 # host:port; an IPv4 address without name lookup, and a port that a socket can bind
@@ -34,13 +35,14 @@
     LEFT = 4  # announced its stop; final for this incarnation
 
 
-ENDED = (State.GONE, State.LEFT)
+ENDED = (State.GONE, State.LEFT)  # states of ended members
 
 
 class Record(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """The state of one member.
 
-    Only the member itself raises the incarnation; others only set a state that overrides the current one.
+    Only the member itself raises its incarnation: at a start, after a change of its configuration, and to
+    refute what others report of it. Others only set a state that overrides the current one.
     """
 
     name: Text
@@ -67,7 +69,7 @@
 RecordBatch = Annotated[tuple[Record, ...], Meta(max_length=64)]
 RecordList = Annotated[tuple[Record, ...], Meta(max_length=20_000)]
 # For each record of the message the seconds since the member ended; 0 for members that have not ended. So a
-# tombstone expires at the same time at every member.
+# tombstone (the record of an ended member) expires at the same time at every member.
 Ages = Annotated[tuple[Annotated[int, Meta(ge=0, lt=1 << 32)], ...], Meta(max_length=20_000)]
 BucketIndices = Annotated[tuple[Annotated[int, Meta(ge=0, lt=BUCKETS)], ...], Meta(max_length=BUCKETS)]
 BucketDigests = Annotated[tuple[Digest, ...], Meta(min_length=BUCKETS, max_length=BUCKETS)]
@@ -102,7 +104,7 @@
 
 
 class PingRequest(Struct, frozen=True, array_like=True, tag=3):
-    """Requests an indirect probe of the member `to`."""
+    """Requests an indirect probe: the receiver, a helper, probes the member `to` on behalf of the sender."""
 
     header: Header
     seq: UnsignedInt
@@ -112,14 +114,14 @@
 
 
 class Nack(Struct, frozen=True, array_like=True, tag=4):
-    """Answers a PingRequest: the probe failed so far, but the helper itself is reachable."""
+    """Answers a PingRequest: the helper has received no Ack yet, but is reachable itself."""
 
     header: Header
     seq: UnsignedInt
 
 
 class Updates(Struct, frozen=True, array_like=True, tag=5):
-    """Sends updates without a probe; not answered."""
+    """Sends changed records without a probe; not answered."""
 
     header: Header
     updates: RecordBatch
@@ -142,7 +144,7 @@
 
 
 class RemainingRecords(Struct, frozen=True, array_like=True, tag=8):
-    """Ends an exchange: the opener's records in the differing buckets."""
+    """Ends an exchange: the records in the differing buckets that the opening member had."""
 
     header: Header
     records: RecordList
@@ -156,7 +158,7 @@
 
 
 class ComponentMessage(Struct, frozen=True, array_like=True, tag=10):
-    """A message of another component to the same component of another member. The view ignores it."""
+    """A message between the same components of two members. The membership protocol ignores it."""
 
     fleet: Text
     format: int
--- a/softswitch/fleet/size.py
+++ b/softswitch/fleet/size.py
@@ -19,7 +19,7 @@
     def __init__(self, configured: int, linger: float) -> None:
         self.configured, self.linger = configured, linger
         self.size = configured
-        self.counts_until: dict[str, float] = {}  # ended members by name: when they stop counting
+        self.counts_until: dict[str, float] = {}  # ended members by name: ms until which they count
 
     def update(self, now: float, records: Iterable[Record], joined: bool, cut_off: bool) -> int:
         """Recomputes the size. Has to be called at each change of the view, and once a second."""
--- a/softswitch/storage/__init__.py
+++ b/softswitch/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable records of the program's own state. A disk that refuses is an answer, not a fault."""
+"""Files that retain state of the process over a restart. I/O errors are raised to the caller."""
--- a/softswitch/storage/snapshot.py
+++ b/softswitch/storage/snapshot.py
@@ -26,7 +26,7 @@
 
 
 class FileOperations(Protocol):
-    """File operations that a snapshot needs; tests replace it with one that fails or is slow."""
+    """File operations that a snapshot needs; tests replace them with failing or slow ones."""
 
     def read(self, path: Path, max_size: int) -> bytes:
         """Returns the first `max_size` bytes. FileNotFoundError if there is no file."""
@@ -35,7 +35,7 @@
         """Writes and syncs the file; it may be incomplete until this returns."""
 
     def replace(self, old: Path, new: Path) -> None:
-        """Renames the file and syncs the folder."""
+        """Renames `old` to `new`, replacing a file of that name, and syncs the folder."""
 
     def remove(self, path: Path) -> None:
         """Removes the file if it exists."""
