--- a/softswitch/budgets/allocator.py
+++ b/softswitch/budgets/allocator.py
@@ -33,10 +33,10 @@
 ANSWER_TIMEOUT = 400.0  # ms for voters to answer a candidate
 RENEW_SOON = 350.0  # ms after which a holder below its target requests again
 MAX_ROUNDS = 4  # rounds of promise requests whose answers are still accepted
-MAX_OUTSTANDING = 64  # unexpired grants of one holder
+MAX_OUTSTANDING = 64  # outstanding grants of one holder
 # ms before a candidate starts: per place in the list of voters, and random
 RANK_DELAY, MAX_RANDOM_DELAY = 100.0, 150.0
-PROMISED_ELSEWHERE_DELAY = 100.0  # ms before the next attempt if the own voter has promised itself to another
+PROMISED_ELSEWHERE_DELAY = 100.0  # ms before the next candidacy if this member's voter promised another
 
 
 @dataclass(slots=True)
@@ -48,7 +48,7 @@
 
 
 class Allocator:
-    """A voter as candidate and allocator. Keeps the promises that it received."""
+    """A voter in its roles as candidate and allocator. Stores the promises that it received."""
 
     def __init__(self, plan: Plan, address: str, voters_digest: int, rng: Random, now: float) -> None:
         self.plan = plan
@@ -58,7 +58,8 @@
         self.rank = plan.voters.index(address) if address in plan.voters else 0
         self.term = 0  # the highest known
         self.candidate_epoch: Epoch = NO_EPOCH  # for which promises are requested
-        self.epoch: Epoch = NO_EPOCH  # of the grants; its random number is generated when it begins
+        # of this process's grants, or NO_EPOCH; the epoch's random number is generated when it begins
+        self.epoch: Epoch = NO_EPOCH
         self.round = 0
         self.rounds: dict[int, Round] = {}
         self.until = now  # end of the leadership, by this process's clock
@@ -66,8 +67,8 @@
         self.next_campaign = now + plan.promise + self._campaign_delay()
         self.next_round = now
         self.ledger = Ledger(plan, now)
-        self.grant_number = 0  # of the last grant
-        self.granted = 0
+        self.grant_number = 0  # of the last grant in this epoch
+        self.granted = 0  # grants in all epochs
         self.epochs_won = 0
         self.last_denial = ""
 
@@ -80,14 +81,14 @@
         return self.epoch != NO_EPOCH and now < self.until
 
     def next_at(self) -> float:
-        """The time of the next call of `tick`."""
+        """The time by which `tick` has to be called again."""
         if self.candidate_epoch == NO_EPOCH:
             return self.next_campaign
         leading = self.epoch != NO_EPOCH
         return min(self.next_round, self.ledger.next_division if leading else self.campaign_ends)
 
     def tick(self, now: float, promised_to: str) -> list[Message]:
-        """Handles due timers. `promised_to`: the address to which the own voter has promised itself.
+        """Handles due timers. `promised_to`: the address to which this member's voter made its promise.
 
         The returned messages go to all voters.
         """
@@ -136,7 +137,7 @@
         return PromiseRequest(self.address, self.candidate_epoch, self.round, self.voters_digest)
 
     def promise_received(self, now: float, promise: Promise) -> bool:
-        """Counts a promise. Returns whether this process becomes the allocator by it."""
+        """Counts a promise. Returns whether this promise makes the process the allocator."""
         round_ = self.rounds.get(promise.round)
         if promise.epoch != self.candidate_epoch or self.candidate_epoch == NO_EPOCH or round_ is None:
             return False
@@ -173,7 +174,7 @@
         """Returns the answer to a holder, or None. Must be called only while `is_leader`."""
         holder = self.ledger.request_received(now, request, self.epoch[1])
         if holder is None or request.returns_all or len(holder.grants) >= MAX_OUTSTANDING:
-            # an unexpired grant may not be dropped from the ledger: the holder has to wait
+            # An outstanding grant must not be dropped from the ledger: at the maximum the holder has to wait.
             return None
         echoes = request.epoch == self.epoch
         if not echoes and request.basis[0] != self.epoch[1]:
--- a/softswitch/budgets/lease_client.py
+++ b/softswitch/budgets/lease_client.py
@@ -32,9 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message to this member."""
+    """Send a message to another member."""
 
-    to: str
+    to: str  # address
     message: Message
 
 
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """For operators."""
+    """A notice for operators, which is logged."""
 
     kind: NoticeKind
     details: str = ""
@@ -81,15 +81,15 @@
         self.holder = LeaseHolder(plan, address, boot, rng, now)
         self._actions: list[Action] = []
         self._own_messages: list[Message] = []  # messages of this member to itself
-        # as reported by the last notices:
+        # state that the last notices reported:
         self._was_leader = False
-        self._was_at_the_floor = True
+        self._was_at_the_floor = True  # no lease, so only the floor may be used
         self._totals = {budget.name: budget.total for budget in plan.budgets}
 
     # timers
 
     def next_at(self) -> float:
-        """The latest time of the next call of `tick`."""
+        """The time by which `tick` has to be called again."""
         due = [self.holder.next_request]
         if not self.holder.has_no_lease:
             due.append(self.holder.until)
@@ -206,7 +206,7 @@
         self.holder.set_needs(now, needs)
 
     def held(self, now: float, name: str) -> int:
-        """Slots that it may use now: floor and lease."""
+        """Slots of this budget that the process may use now: floor and lease."""
         return self.holder.held(now, name)
 
     def stop(self, now: float) -> list[Action]:
@@ -233,7 +233,7 @@
         self.holder.plan = self.plan
         self.voter.plan = self.plan
         self.allocator.plan = self.plan
-        if self.allocator.epoch != NO_EPOCH:  # the ledger belongs to the old budgets
+        if self.allocator.epoch != NO_EPOCH:  # its ledger counts slots of the old budgets
             self.allocator.next_campaign = now + PLAN_CHANGED_DELAY
             self._resign()
         self._note_leadership(now)
--- a/softswitch/budgets/lease_holder.py
+++ b/softswitch/budgets/lease_holder.py
@@ -23,9 +23,9 @@
 )
 from softswitch.budgets.plan import Plan
 
-MAX_PENDING_REQUESTS = 16  # whose grants are still accepted
+MAX_PENDING_REQUESTS = 16  # the last requests; grants for earlier ones are not accepted
 MIN_INTERVAL = 50.0  # ms between two requests even after redirects: two voters may redirect to each other
-RETRY_INTERVAL = 300.0  # ms after which an unanswered request is repeated
+RETRY_INTERVAL = 300.0  # ms after which an unanswered request is retried
 GROWTH = 1.25  # times the last reported need, above which the need is reported early
 MAX_UNANSWERED = 3  # unanswered requests before another voter is tried
 JITTER = (0.85, 1.1)  # random factor of an interval
@@ -53,10 +53,10 @@
         self.rng = rng
         self.started_at = now
         self.seq = 0  # of the last request
-        self.sent: OrderedDict[int, float] = OrderedDict()  # time by request number
+        self.sent: OrderedDict[int, float] = OrderedDict()  # when a request was sent, by its number
         self.epoch: Epoch = NO_EPOCH
         self.allocator = ""  # address; empty if not known
-        self.unanswered = 0
+        self.unanswered = 0  # requests since the allocator's last answer
         self.last_grant: GrantId = NO_GRANT  # the last accepted one, expired or not
         self.slots: dict[str, int] = {}  # leased, by budget
         self.until = now  # end of the lease
@@ -66,18 +66,19 @@
         self.next_voter = rng.randrange(len(plan.voters))  # receives requests while no allocator is known
         self.stopping = False
         self.has_no_lease = True  # no grant was accepted since the last expiry
+        # "wants": requests sent; "lapses": expired leases
         self.counts = {"wants": 0, "grants": 0, "grants that came too late": 0, "lapses": 0}
 
     def leased(self, now: float, name: str) -> int:
-        """Leased slots."""
+        """Slots of this budget that are leased now."""
         return self.slots.get(name, 0) if now < self.until and not self.stopping else 0
 
     def held(self, now: float, name: str) -> int:
-        """Slots that may be used: floor and lease."""
+        """Slots of this budget that may be used now: floor and lease."""
         return self.leased(now, name) + self.floor(now, name)
 
     def floor(self, now: float, name: str) -> int:
-        """The floor; 0 during the cooldown after a start, as the process may have used it before."""
+        """The floor; 0 during the cooldown after a start: an earlier process may have used it just before."""
         budget = self.plan.by_name.get(name)
         if budget is None or now < self.started_at + self.plan.cooldown(budget):
             return 0
@@ -125,12 +126,12 @@
             self._request_soon(now, RETRY_INTERVAL)
 
     def _request_soon(self, now: float, delay: float) -> None:
-        """Schedules the next request for `delay` ms after the last one, if that is earlier than planned."""
+        """Moves the next request to `delay` ms after the last one, if that is earlier than planned."""
         last = next(reversed(self.sent.values()), now - delay)
         self.next_request = min(self.next_request, max(now, last + delay))
 
     def redirected(self, now: float, message: Redirect) -> None:
-        """Sets the allocator that a voter names, or the epoch that the allocator itself sends."""
+        """Sets the allocator that a voter names, or the allocator and epoch that an allocator sends."""
         if message.epoch != NO_EPOCH:
             self.epoch = message.epoch
         elif not message.allocator or message.allocator == self.allocator:
@@ -162,7 +163,7 @@
         self.has_no_lease = False
         self.counts["grants"] += 1
         self.next_request = now + grant.renew_after * self.rng.uniform(*JITTER)
-        if gave_up_some:  # others can get the slots as soon as this process reports it
+        if gave_up_some:  # these slots cool down for other holders as soon as a request reports this grant
             self._request_soon(now, MIN_INTERVAL)
         return True
 
--- a/softswitch/budgets/ledger.py
+++ b/softswitch/budgets/ledger.py
@@ -1,8 +1,8 @@
 """The allocator's ledger of one epoch: outstanding grants, slots that cool down, and available slots.
 
-A grant counts until its holder reports that another one replaced it, or until it has expired by any clock
-within the bound on drift. Then its slots cool down for one window, because they may have been used just
-before.
+A holder is a process that leases slots. A grant counts until its holder reports that another grant replaced
+it, or until it has expired by any clock within the bound on drift. Then its slots cool down for one window,
+because they may have been used just before.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 # MIN_CHANGE of a holder's slots is not made. A change above it, up to LARGE_CHANGE, has to persist for a
 # window; a larger one is made at once.
 MIN_CHANGE, LARGE_CHANGE = 1 / 8, 1 / 2
-HEADROOM = 15 / 16  # of the slots that no one needs, granted in advance; the rest is for new holders
+HEADROOM = 15 / 16  # fraction of the unneeded slots, granted in advance; the rest is for new holders
 
 HolderKey = tuple[str, int]  # address and boot id: one start of a process
 
 
 @dataclass(slots=True)
 class OutstandingGrant:
-    """A grant that its holder may still hold."""
+    """A grant whose slots its holder may still use."""
 
     id: GrantId
-    slots: dict[str, int]
-    until: float
+    slots: dict[str, int]  # by budget
+    until: float  # by the allocator's clock, in ms
 
 
 @dataclass(slots=True)
@@ -44,17 +44,17 @@
     seq: int = 0
     grants: list[OutstandingGrant] = field(default_factory=list)
     leased: dict[str, int] = field(default_factory=dict)  # by budget, the maximum over all grants
-    needs: dict[str, int] = field(default_factory=dict)  # beyond its floor
+    needs: dict[str, int] = field(default_factory=dict)  # by budget, slots beyond its floor
     weights: dict[str, float] = field(default_factory=dict)
-    limits: dict[str, Limits] = field(default_factory=dict)  # of the holder's own file
-    targets: dict[str, int] = field(default_factory=dict)
+    limits: dict[str, Limits] = field(default_factory=dict)  # of the holder's own operator file
+    targets: dict[str, int] = field(default_factory=dict)  # by budget, slots that the last division gave it
     off_target_at: dict[str, float] = field(default_factory=dict)  # when the change first exceeded MIN_CHANGE
     returned_all: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Cooling:
-    """Slots that can't be granted yet."""
+    """Slots that were given up or expired, and can't be granted before `until`."""
 
     until: float
     slots: int
@@ -105,7 +105,7 @@
                 holder.leased[name] = leased
 
     def sweep(self, now: float) -> None:
-        """Removes expired grants, and holders without grants that sent no request for a complete lease."""
+        """Removes expired grants, and holders without grants that sent no request for the time of a lease."""
         for key, holder in list(self.holders.items()):
             if any(now >= grant.until for grant in holder.grants):
                 holder.grants = [grant for grant in holder.grants if now < grant.until]
--- a/softswitch/budgets/messages.py
+++ b/softswitch/budgets/messages.py
@@ -28,7 +28,7 @@
     """A holder's state and need of one budget, in slots."""
 
     name: Name
-    total: Slots  # by the holder's own file
+    total: Slots  # in the holder's operator file, as is the floor
     floor: Slots
     leased: Slots  # at the time of the request
     need: Slots  # including the floor
@@ -62,9 +62,10 @@
 
 
 class Redirect(Struct, frozen=True, array_like=True, tag=3):
-    """Redirects a holder. `allocator`: the one to which the sender has promised itself; may be empty.
+    """Sends a holder to another address, `allocator`: the one that holds the sender's promise. May be empty.
 
-    An allocator also sends it, with its own epoch, if the holder has to receive the epoch first.
+    A voter sends it with NO_EPOCH. An allocator sends it with its own address and epoch, if the holder has to
+    request again and echo this epoch.
     """
 
     epoch: Epoch
@@ -76,12 +77,12 @@
 
     address: Address
     epoch: Epoch
-    round: UnsignedInt
+    round: UnsignedInt  # number of the candidate's round of requests
     voters: Digest  # digest of the settings on which voters have to agree
 
 
 class Promise(Struct, frozen=True, array_like=True, tag=5):
-    """Makes a promise."""
+    """Answers a PromiseRequest: for a limited time the voter makes no promise for another epoch."""
 
     voter: Address
     epoch: Epoch
@@ -89,7 +90,7 @@
 
 
 class PromiseDenied(Struct, frozen=True, array_like=True, tag=6):
-    """Denies a promise."""
+    """Answers a PromiseRequest: the voter makes no promise."""
 
     voter: Address
     epoch: Epoch  # of the request
--- a/softswitch/budgets/plan.py
+++ b/softswitch/budgets/plan.py
@@ -17,7 +17,7 @@
 CALLS, RETRIES = "set-ups", "repeats"  # consumed resources: first attempts, retries
 SHARED_RESOURCES = (i.SHARED_SLOW_START, i.SHARED_PROBES)  # resources of which members hold a share
 RESOURCES = (CALLS, RETRIES, *SHARED_RESOURCES)
-MAX_DRIFT = 0.1
+MAX_DRIFT = 0.1  # of `Plan.drift`
 
 
 class PlanError(ValueError):
@@ -31,10 +31,10 @@
     name: str
     resource: str  # one of RESOURCES
     total: int  # slots
-    floor: int = 0  # slots that each member on the roster may use without a lease
+    floor: int = 0  # slots that each member in `Plan.members` may use without a lease
     window: float = 1_000.0  # ms in which a slot can be used once
-    call_class: str = ""  # empty: all
-    engine: str = ""  # empty: all
+    call_class: str = ""  # empty: all classes
+    engine: str = ""  # empty: all engines
 
     def __post_init__(self) -> None:
         if self.resource not in RESOURCES:
@@ -63,8 +63,9 @@
 class Plan:
     """All budgets, the roster, the voters and the lease times.
 
-    `drift`: no member's clock runs faster or slower than true time by more than this ratio. Safety depends on
-    this assumption alone: clocks of different members are never compared.
+    `drift`: no member's clock runs faster or slower than true time by more than this ratio. That no two
+    members use a slot within its window depends on this assumption alone: clocks of different members are
+    never compared.
     """
 
     budgets: tuple[Budget, ...]
@@ -96,7 +97,7 @@
             )
 
     def floor_of(self, name: str, member: str) -> int:
-        """The floor of a member, given its address."""
+        """The floor of a member, given the budget's name and the member's address; 0 off the roster."""
         budget = self.by_name.get(name)
         return budget.floor if budget is not None and member in self.members else 0
 
@@ -107,7 +108,7 @@
 
     @property
     def leadership(self) -> float:
-        """Ms of its own clock that an allocator may rely on promises, from the time it requested them.
+        """How long an allocator may rely on promises: ms of its clock since it requested them.
 
         In true time this ends before any voter's promise does.
         """
@@ -115,26 +116,26 @@
 
     @property
     def lease_bound(self) -> float:
-        """Ms of its own clock after which an allocator may rely on the expiry of an earlier requested lease.
+        """Ms of the allocator's clock after which every lease that was requested before has expired.
 
         Covers the worst case: the holder's clock is the slowest, the allocator's the fastest.
         """
         return self.lease * (1 + self.drift) / (1 - self.drift)
 
     def cooldown(self, budget: Budget) -> float:
-        """Ms of the own clock that cover the budget's window in true time at any permitted drift."""
+        """Ms of a member's clock after which the budget's window has passed in true time, at any drift."""
         return budget.window * (1 + self.drift)
 
     @property
     def renew_interval(self) -> float:
-        """Ms between two requests of a holder."""
+        """Ms between two lease requests of a holder."""
         return self.lease / 4
 
 
 def strictest_limits(plan: Plan, reported: Iterable[dict[str, Limits]]) -> dict[str, Limits]:
-    """The limits of each budget of the plan if members have different files.
+    """The limits of each budget of the plan if members have different operator files.
 
-    These are the lowest total and the highest floor of all.
+    These are the lowest total and the highest floor of the plan and of the `reported` limits of holders.
     """
     limits = {b.name: Limits(b.total, b.floor) for b in plan.budgets}
     for limits_by_name in reported:
--- a/softswitch/budgets/spending.py
+++ b/softswitch/budgets/spending.py
@@ -15,27 +15,27 @@
 
 FAST_TIME_CONSTANT, SLOW_TIME_CONSTANT = 1_500.0, 10_000.0  # ms; of the two moving averages of the load
 CHANGE_THRESHOLD = 3.0  # standard deviations between the two averages that count as a change of the load
-WEIGHT_SMOOTHING = 20  # calls
+WEIGHT_SMOOTHING = 20  # calls over which the weight is averaged
 MIN_SHARE_LOAD = 0.05  # calls in SLOW_TIME_CONSTANT ms below which no share is needed
-MIN_SLOT_LOAD = 0.02  # slots below which none is needed
-MIN_SHARE_WEIGHT = 1e-3
+MIN_SLOT_LOAD = 0.02  # mean uses in a window below which no slot is needed
+MIN_SHARE_WEIGHT = 1e-3  # minimum weight of the need of a share
 
 
 class OfferedLoad:
     """Rate and mean weight of the offered load.
 
-    The rate is a slow moving average, so that random variation moves no slots. When the fast average differs
-    from it by more than random variation explains, the load has changed, and the fast average replaces the
-    slow one.
+    The rate is a slow moving average, so that random variation moves no slots between members. When the fast
+    average differs from it by more than random variation explains, the load has changed, and the fast average
+    replaces the slow one.
     """
 
     __slots__ = ("fast", "slow", "updated_at", "weight")
 
     def __init__(self, now: float) -> None:
         self.fast = 0.0  # per ms
-        self.slow = 0.0
+        self.slow = 0.0  # per ms
         self.updated_at = now
-        self.weight = 1.0
+        self.weight = 1.0  # mean priority weight
 
     def _decay(self, now: float) -> None:
         elapsed = now - self.updated_at
@@ -54,7 +54,7 @@
     def rate(self, now: float) -> float:
         """The current rate per ms."""
         self._decay(now)
-        # For random (Poisson) arrivals such an average has half the variance of a count over the time
+        # For random (Poisson) arrivals an exponential average has half the variance of a count over its time
         # constant.
         threshold = CHANGE_THRESHOLD * sqrt(max(self.fast, self.slow) * FAST_TIME_CONSTANT / 2) + 1
         if abs(self.fast - self.slow) * FAST_TIME_CONSTANT > threshold:
@@ -69,9 +69,9 @@
         self.budget = budget
         self.window = SlidingWindow(budget.window * (1 + drift))
         self.load = OfferedLoad(now)
-        self.wanted = 0
-        self.spent = 0
-        self.rejected = 0
+        self.wanted = 0  # calls or attempts that needed a slot
+        self.spent = 0  # slots used
+        self.rejected = 0  # calls rejected because this or another budget was exhausted
 
     def applies_to(self, resource: str, call_class: str, engine: str) -> bool:
         """Whether the budget limits that resource for that class and engine."""
@@ -89,7 +89,10 @@
 
 
 class Spending:
-    """Checks and counts the use of all budgets. `held` returns the usable slots: floor and lease."""
+    """Checks and counts the use of all budgets.
+
+    `held` returns the slots of a budget that this process may use: floor and lease.
+    """
 
     def __init__(self, plan: Plan, held: Callable[[float, str], int], clock: Callable[[], float]) -> None:
         self.held = held
@@ -129,7 +132,7 @@
                 use.rejected += 1
             else:
                 use.spend(now)
-        for use in self.uses.values():  # the load of slow start and probes follows the calls
+        for use in self.uses.values():  # every call counts as load of the shared resources
             if use.budget.is_share:
                 use.load.add(now, priority_weight)
         return wait
@@ -155,7 +158,7 @@
                 use.spend(now)
 
     def attempt_wanted(self, call_class: str, retry: bool, priority_weight: float) -> None:
-        """Records the demand for an attempt at any engine. Called once per attempt."""
+        """Records the demand for an attempt, whichever engine it will go to. Called once per attempt."""
         now, resource = self.clock(), _resource(retry)
         for use in self.attempt_uses:
             if use.applies_to(resource, call_class, use.budget.engine):
@@ -163,7 +166,7 @@
                 use.load.add(now, priority_weight)
 
     def share(self, resource: str, server: str, default: float) -> float:
-        """The share of that engine's resource that is held now; `default` if no budget divides it."""
+        """The fraction of that engine's resource that is held now; `default` if no budget divides it."""
         now = self.clock()
         shares = [
             self.held(now, use.budget.name) / SHARE_SLOTS
@@ -182,7 +185,8 @@
     @staticmethod
     def _need(use: BudgetUse, rate: float) -> Need:
         if use.budget.is_share:
-            # Each member could use the complete share, so it is divided by weight: the load of each member.
+            # Each member could use all slots. So every need is the same, and only the weights, the members'
+            # loads in calls per s, determine the division.
             slots = SHARE_SLOTS if rate * SLOW_TIME_CONSTANT > MIN_SHARE_LOAD else 0
             return Need(slots, max(MIN_SHARE_WEIGHT, rate * 1_000.0))
         mean = rate * use.budget.window
--- a/softswitch/budgets/voter.py
+++ b/softswitch/budgets/voter.py
@@ -19,7 +19,7 @@
 
 
 class Voter:
-    """Makes promises and keeps the current one."""
+    """Makes promises, and stores the current one."""
 
     def __init__(self, plan: Plan, address: str, voters_digest: int, now: float) -> None:
         self.plan = plan
@@ -29,7 +29,7 @@
         self.epoch: Epoch = NO_EPOCH  # of the promise
         self.allocator = ""  # address to which the promise was made
         self.until = now + plan.promise  # no promise to another allocator before this time
-        self.withdrawn: Epoch = NO_EPOCH
+        self.withdrawn: Epoch = NO_EPOCH  # the last epoch whose promise was released
 
     def promised_to(self, now: float) -> str:
         """The address to which the current promise was made; empty if there is none."""
@@ -49,7 +49,11 @@
         return Promise(self.address, request.epoch, request.round)
 
     def _objection(self, now: float, request: PromiseRequest) -> str:
-        """Why a promise is denied; empty if it is made."""
+        """Why a promise is denied; empty if it is made.
+
+        "whoever was before the start": a candidate to which this voter may have made a promise before its
+        restart; "it gave up this office": the candidate has withdrawn this epoch.
+        """
         if request.voters != self.voters_digest:
             return "another list of voters, or other times, are in use here"
         if now < self.until and request.epoch != self.epoch:
--- a/softswitch/net/budgets.py
+++ b/softswitch/net/budgets.py
@@ -1,5 +1,8 @@
 """Transport of the budgets: messages inside the fleet's datagrams, and constraints for the decision module.
 
+A budget is a limit for all members of the fleet together, counted in slots, see `budgets.plan`. A member may
+use the slots of its floor at any time, and further slots on lease.
+
 This module makes no protocol decisions: it passes events to `budgets.lease_client.LeaseClient` and carries
 out the returned actions. The clock is never set and continues while the machine sleeps; it is read for each
 event and each query of the decision module.
@@ -29,9 +32,9 @@
 COMPONENT = "budgets"  # name of this component in the fleet's component messages
 NEEDS_INTERVAL = 200.0  # ms between two updates of the needs
 FLOOR_FRACTION_DURING_REPLACEMENT = 0.5  # for each of the two processes
-MAX_SHOWN_HOLDERS = 1_000
-MAX_SHOWN_NAMES = 200  # characters
-BOOT_BITS, SEED_BITS = 62, 64
+MAX_SHOWN_HOLDERS = 1_000  # in the report of the ledger
+MAX_SHOWN_NAMES = 200  # characters of the budgets' names in a log line
+BOOT_BITS, SEED_BITS = 62, 64  # sizes of the boot id and of the random seed
 WARNINGS = (NoticeKind.AT_THE_FLOOR, NoticeKind.DEPOSED, NoticeKind.TOTAL_LOWERED)
 
 
@@ -43,9 +46,9 @@
 class FloorFraction:
     """The fraction of its floors that this process may use.
 
-    Floors belong to the fleet address: only a process that has bound the address may use them. While one
-    process replaces the other, each has half. A gained fraction counts only after a cooldown, because the
-    other process may have used those slots.
+    Floors belong to the member's fleet address: only a process that has bound the address may use them. While
+    a successor replaces its predecessor, each of the two processes has half. When the fraction rises, the
+    added part may be used only after a cooldown, because the other process may have used those slots.
     """
 
     def __init__(self, now: float, max_cooldown: float) -> None:
@@ -103,7 +106,10 @@
 
 
 class Budgets:
-    """Manages this softswitch's slots of the fleet's budgets. A `components.Component`."""
+    """Manages this softswitch's slots of the fleet's budgets. A `components.Component`.
+
+    `table` is the operator file's list `budgets`.
+    """
 
     def __init__(self, table: Any, host: Host, peers: Peers) -> None:
         self.table = table
@@ -119,8 +125,8 @@
         self.spending = self._make_spending(plan)
         self.encoder = msgspec.msgpack.Encoder()
         self.decoder = msgspec.msgpack.Decoder(Message)
-        self.undecodable = 0
-        self.unsent = 0
+        self.undecodable = 0  # received messages
+        self.unsent = 0  # messages that were not sent because the fleet address is not bound
         self._next_tick_at = 0.0  # by the wheel's clock
         host.management_routes["/v1/budgets"] = ManagementRoute("GET", self._report_budgets)
         if self.allocation.record:
@@ -169,7 +175,7 @@
         self._tick(self.wheel.now)
 
     def reload(self, table: Any, settings: i.Settings) -> str:
-        """Applies changed budgets. Returns what needs a restart, as text."""
+        """Applies changed budgets. Returns a text that names the changes that need a restart."""
         delayed = "allocation" if self.host.tables.allocation != self.allocation else ""
         if table is None:
             return "budgets"
@@ -196,7 +202,7 @@
                 )
 
     def figures(self) -> dict[str, Any]:
-        """Counts for `GET /metrics`."""
+        """Counts for `GET /metrics`. `in_office`: is the allocator now; `offices`: won elections."""
         holder, allocator, now = self.client.holder, self.client.allocator, boot_time_ms()
         return {
             "in_office": allocator.is_leader(now),
@@ -272,7 +278,7 @@
     # management calls
 
     def _report_budgets(self, rest: str) -> ManagementResponse:
-        """GET /v1/budgets."""
+        """GET /v1/budgets. `in_office`: is the allocator now; `books`: its ledger."""
         now, client = boot_time_ms(), self.client
         holder, allocator = client.holder, client.allocator
         leader = allocator.is_leader(now)
@@ -301,6 +307,7 @@
         return report
 
     def _report_ledger(self) -> dict[str, Any]:
+        # "bound": totals in force; "out": leased slots; "resting": slots that cool down
         ledger = self.client.allocator.ledger
         holders = list(ledger.holders.values())[:MAX_SHOWN_HOLDERS]
         return {
--- a/softswitch/net/peers.py
+++ b/softswitch/net/peers.py
@@ -1,4 +1,7 @@
-"""Transport of the fleet view: UDP datagrams for probes, one TCP connection per exchange, and the snapshot.
+"""Transport of the fleet view: UDP datagrams for probes, one TCP connection per exchange, a snapshot file.
+
+The fleet view is what this process knows about the members of its fleet. The snapshot retains this member's
+incarnation and the addresses of other members over a restart.
 
 msgspec validates every message completely; undecodable messages are counted and dropped. This module makes no
 protocol decisions: it passes events to `fleet.member.Member` and carries out the returned actions.
@@ -55,7 +58,7 @@
     """The content of the snapshot."""
 
     fleet: str
-    key: str
+    key: str  # of this member: name@address
     incarnation: int
     peer_addresses: tuple[str, ...]
 
@@ -67,7 +70,7 @@
         self.peers = peers
 
     def datagramReceived(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Passes a received datagram on."""
+        """Passes a received datagram to `Peers`."""
         self.peers.datagram_received(data)
 
 
@@ -154,7 +157,10 @@
 
 
 class Peers:
-    """Maintains this softswitch's view of its fleet. A `components.Component`."""
+    """Maintains this softswitch's view of its fleet. A `components.Component`.
+
+    `table` is the operator file's table `fleet`.
+    """
 
     def __init__(self, table: Any, host: Host) -> None:
         self.table, self.host, self.switch, self.wheel = table, host, host.switch, host.switch.wheel
@@ -164,12 +170,12 @@
         self.receivers: dict[str, Callable[[bytes], None]] = {}  # of component messages, by component
         self.exchange_decoder = msgspec.msgpack.Decoder(Stream)
         self.exchanges: dict[ExchangeConnection, None] = {}
-        self.datagram_port: Any = None  # None while the address is not bound
+        self.datagram_port: Any = None  # Twisted port; None while the address is not bound
         self.exchange_port: Any = None
         self.bind_failure_logged = False
         self.datagrams_in_interval, self.interval_started_at = 0, 0.0
         self.next_tick_at = 0.0
-        self.handed_over = False  # the successor process acts for the member
+        self.handed_over = False  # whether the successor process acts for the member
         self.snapshot, self.saving, self.saved_digest, self.write_failing = (
             self._open_snapshot(),
             False,
@@ -196,7 +202,7 @@
         self.member = Member(table.name, me, seeds, periods, random.getrandbits(64), self.wheel.now)
         deadline = max((c.deadline for c in host.settings.classes), default=0.0) or DEFAULT_CALL_DEADLINE
         self.fleet_size = FleetSize(host.settings.fleet_size, deadline + LINGER_MARGIN)
-        self.applied_size = host.settings.fleet_size
+        self.applied_size = host.settings.fleet_size  # the size that the decision module uses now
         host.management_routes["/v1/fleet"] = ManagementRoute("GET", self._report_view)
 
     # snapshot
@@ -217,9 +223,10 @@
         return Snapshot(folder / name, SNAPSHOT_TYPE, SNAPSHOT_VERSION)
 
     def _load_state(self) -> SavedState | None:
-        """The state that the predecessor process saved.
+        """Returns the state that the predecessor process saved.
 
-        None if there is none or it is unusable; the latter is logged, and the member joins through its seeds.
+        None if there is no snapshot or it is unusable; in both cases the member joins through its configured
+        seeds. An unusable snapshot is logged.
         """
         if self.snapshot is None:
             return None
@@ -235,7 +242,7 @@
         return saved
 
     def _save(self) -> None:
-        """Writes a snapshot every SNAPSHOT_INTERVAL ms if the view changed.
+        """Writes a snapshot every SNAPSHOT_INTERVAL ms if the digest of the member table changed.
 
         A thread writes it, so that the event loop does not wait for the disk.
         """
@@ -394,7 +401,7 @@
     # received messages
 
     def datagram_received(self, data: bytes) -> None:
-        """Handles one datagram; drops it above MAX_DATAGRAMS_PER_INTERVAL."""
+        """Handles one datagram; drops it above MAX_DATAGRAMS_PER_INTERVAL in this interval."""
         now = self.wheel.now
         if now - self.interval_started_at >= RATE_INTERVAL:
             self.interval_started_at, self.datagrams_in_interval = now, 0
