--- a/softswitch/budgets/allocator.py
+++ b/softswitch/budgets/allocator.py
@@ -61,8 +61,9 @@
         # of this process's grants, or NO_EPOCH; the epoch's random number is generated when it begins
         self.epoch: Epoch = NO_EPOCH
         self.round = 0
-        self.rounds: dict[int, Round] = {}
+        self.rounds: dict[int, Round] = {}  # by number
         self.until = now  # end of the leadership, by this process's clock
+        # A campaign is the time in which a candidate collects promises for one epoch.
         self.campaign_ends = now
         self.next_campaign = now + plan.promise + self._campaign_delay()
         self.next_round = now
@@ -189,7 +190,10 @@
     def _slots_for(
         self, now: float, request: LeaseRequest, holder: HolderRecord, echoes: bool
     ) -> dict[str, int] | None:
-        """Slots that may be granted, by budget; None if the holder has to receive this epoch first."""
+        """Slots that may be granted, by budget; None if the holder has to receive this epoch first.
+
+        `echoes`: whether the request names this epoch, so that it was sent after the epoch began.
+        """
         slots: dict[str, int] = {}
         for entry in request.budgets:
             if entry.name not in self.plan.by_name:
--- a/softswitch/budgets/lease_client.py
+++ b/softswitch/budgets/lease_client.py
@@ -75,7 +75,7 @@
         self.plan = plan
         self.address = address
         rng, digest = Random(seed), voters_digest(plan)
-        self.votes = address in plan.voters
+        self.votes = address in plan.voters  # whether this member is a voter
         self.voter = Voter(plan, address, digest, now)
         self.allocator = Allocator(plan, address, digest, rng, now)
         self.holder = LeaseHolder(plan, address, boot, rng, now)
--- a/softswitch/net/peers.py
+++ b/softswitch/net/peers.py
@@ -176,6 +176,7 @@
         self.datagrams_in_interval, self.interval_started_at = 0, 0.0
         self.next_tick_at = 0.0
         self.handed_over = False  # whether the successor process acts for the member
+        # `saving`: a write is running; `saved_digest`: the member table's digest at the last write
         self.snapshot, self.saving, self.saved_digest, self.write_failing = (
             self._open_snapshot(),
             False,
