--- a/benchmarks/cold_engines.py
+++ b/benchmarks/cold_engines.py
@@ -92,7 +92,7 @@
         super()._start()
 
     def _announce(self, engine):
-        self.board.change(
+        self.watch_server.change(
             ListedEngine(
                 engine.settings.name, engine.address, engine.settings.cell, born_ms=int(time() * 1000) - 5
             )
--- a/softswitch/standin/fleet.py
+++ b/softswitch/standin/fleet.py
@@ -159,8 +159,8 @@
 
     def _start(self) -> None:
         listed = [ListedEngine(e.settings.name, e.listen(own_host()), e.settings.cell) for e in self.engines]
-        self.board = WatchServer(self.reactor, listed)
-        watch_server_address = self.board.listen(own_host())
+        self.watch_server = WatchServer(self.reactor, listed)
+        watch_server_address = self.watch_server.listen(own_host())
         for n in range(self.day.softswitches):
             host = own_host()
             config = Path(self.dir.name, f"n{n}.json")
@@ -172,7 +172,7 @@
                         "seed": f"{self.day.seed * 31 + n:016x}",
                         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
                         "board": f"{watch_server_address[0]}:{watch_server_address[1]}",
-                        "known": self.board.known(),
+                        "known": self.watch_server.known(),
                         "settings": self.day.settings(),
                     }
                     | self.extra_configuration(n)
@@ -330,8 +330,8 @@
             callers.stop()
         for engine in self.engines:
             engine.stop()
-        if hasattr(self, "board"):
-            self.board.stop()
+        if hasattr(self, "watch_server"):
+            self.watch_server.stop()
         self.reactor.callLater(0.05, self.reactor.stop)
 
     def _end_programs(self) -> None:
