--- a/softswitch/standin/soak/checker.py
+++ b/softswitch/standin/soak/checker.py
@@ -9,25 +9,31 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from softswitch.standin.soak.surroundings import Surroundings
+from softswitch.standin.soak.surroundings import SoftswitchHistory
 from softswitch.standin.soak.timeline import Timeline, softswitch_of
 
-ANSWER_ALLOWANCE = 0.5  # s after the deadline in which an answer is only late; later ones break a rule
+ANSWER_ALLOWANCE = 0.5  # s after the deadline; an answer within it counts as late, a later one is a violation
 ORDER_ALLOWANCE = 0.1  # s within which events of two connections may be read out of order
-DRAIN_ALLOWANCE = 2.0  # s after the notification of a drain in which new attempts may still arrive
-RELEASE_TIMEOUT = 1.0  # s from an engine's release to the caller's, while callers are connected
-MAX_RELEASE_TIMEOUT = 8.0  # s otherwise, and from a caller's release to the engine's
-ABANDON_ALLOWANCE = 0.1  # s after a setup is abandoned in which an attempt may still arrive
+DRAIN_ALLOWANCE = 2.0  # s after a softswitch is notified of a drain in which it may still send attempts
+RELEASE_TIMEOUT = 1.0  # s until a caller must receive its engine's release, if callers stay connected
+# s for the same if callers don't stay connected, and s until an engine must receive a caller's release.
+MAX_RELEASE_TIMEOUT = 8.0
+ABANDON_ALLOWANCE = 0.1  # s after a caller abandons a setup in which an attempt may still reach an engine
 DEADLINE_ALLOWANCE = 0.15  # s by which the time limit sent to an engine may exceed the caller's
-SHUTDOWN_ALLOWANCE = 0.7  # s after SIGTERM; a setup sent later is lost if SIGKILL leaves it unanswered
-# s before the end of its connection; whether a setup sent in this time was read is unknown.
+# s after SIGTERM; SIGKILL may leave a setup sent until then unanswered, but no setup that was sent later.
+SHUTDOWN_ALLOWANCE = 0.7
+# s before a connection closes; a setup sent in this time may cross with the close and never be read.
 CROSSING_WINDOW = 0.05
 MAX_CALL_EVENTS = 24  # recorded per call, for the report of a violation
 MAX_CALLS = 20_000  # call records retained, for late events of ended calls
 
 
 class Rule(StrEnum):
-    """The rules. The value describes the violation."""
+    """The rules. The value describes the violation, and is written to reports.
+
+    In the values, "patience" is the answer timeout, "quiet time" the retry delay, "out" means in flight,
+    "repeated" retried, "left" abandoned its setup, and "told" received.
+    """
 
     ANSWERED = "no answer before the patience ended"
     ONE_ANSWER = "a second final answer"
@@ -53,11 +59,11 @@
     """A violated rule, with the last events of the call or process that violated it."""
 
     rule: Rule
-    at: float
-    who: str  # a call, or a process of a softswitch
+    at: float  # s
+    who: str  # id of a call, or name of a process of a softswitch
     detail: str
     events: tuple[str, ...] = ()
-    surroundings: tuple[str, ...] = ()  # events of the call's softswitch since the setup
+    surroundings: tuple[str, ...] = ()  # the timeline of the call's softswitch since the setup
 
 
 @dataclass(slots=True)
@@ -67,7 +73,7 @@
     engine: str
     received_at: float
     ended_at: float | None = None
-    may_have_run: bool = True
+    may_have_run: bool = True  # the engine may have processed the call: only idempotent calls may be retried
     needs_retry_delay: bool = True  # after a timeout, a reset or a cancellation
 
 
@@ -87,11 +93,13 @@
     sent_at: float
     answer_timeout: float
     idempotent: bool
-    process: str
+    process: str  # process of a softswitch that received the setup
     answered_at: float | None = None
-    abandoned_at: float | None = None  # by its caller, or its missing answer was already counted
+    # When its caller abandoned it, or its missing answer was counted. No answer is expected afterwards.
+    abandoned_at: float | None = None
     established: bool = False
     attempts: list[Attempt] = field(default_factory=list)
+    # Times: the engine sent its release, the caller received it, the caller sent a release.
     released_by_engine: float | None = None
     released_to_caller: float | None = None
     released_by_caller: float | None = None
@@ -103,8 +111,8 @@
 class Checker:
     """Holds the recorded events and the violations found."""
 
-    def __init__(self, clear_wait: float, max_attempts: int) -> None:
-        self.retry_delay = clear_wait  # s
+    def __init__(self, retry_delay: float, max_attempts: int) -> None:
+        self.retry_delay = retry_delay  # s
         self.max_attempts = max_attempts
         self.calls: dict[str, CallRecord] = {}
         self.timeline = Timeline()
@@ -113,24 +121,24 @@
         self.answers = 0
         self.late_answers = 0  # answers up to ANSWER_ALLOWANCE after the deadline
         self.abandoned = 0  # setups that their callers abandoned: no answer is expected
-        self.crossed_setups = 0  # setups sent within CROSSING_WINDOW of their connection's end
+        self.crossed_setups = 0  # unanswered setups sent within CROSSING_WINDOW of their connection's end
         self.attempts = 0
         self.releases = 0
         self.drained_at: dict[str, float] = {}  # by engine: when the watch server announced its drain
         self.stop_requested_at: dict[str, float] = {}  # by process: when SIGTERM was sent
         self.checked: Counter[Rule] = Counter()  # how often each rule was checked
         self.exempt: Counter[Rule] = Counter()  # how many of these checks were exempt or had a wider limit
-        self.surroundings: dict[str, Surroundings] = {}  # by softswitch
+        self.histories: dict[str, SoftswitchHistory] = {}  # by softswitch
         self._pending_releases: deque[tuple[float, str]] = deque()  # (deadline, call), to callers
         self._pending_engine_releases: deque[tuple[float, str]] = deque()  # (deadline, call), to engines
         # (arrival of the later attempt, call, earlier attempt)
         self._overlapping_attempts: deque[tuple[float, str, Attempt]] = deque()
 
-    # Surroundings
+    # Softswitches and engines
 
-    def surroundings_of(self, process: str) -> Surroundings:
-        """Returns the surroundings of a softswitch, given its name or that of one of its processes."""
-        return self.surroundings.setdefault(softswitch_of(process), Surroundings())
+    def history_of(self, process: str) -> SoftswitchHistory:
+        """Returns the history of a softswitch, given its name or that of one of its processes."""
+        return self.histories.setdefault(softswitch_of(process), SoftswitchHistory())
 
     def stop_requested(self, at: float, process: str) -> None:
         """Records the first SIGTERM to a process."""
@@ -138,7 +146,7 @@
 
     def watch_server_silent(self, at: float, until: float, softswitch: str) -> None:
         """Records that the softswitch's watch server sends nothing from `at` to `until`."""
-        self.surroundings_of(softswitch).silences.append((at, until))
+        self.history_of(softswitch).silences.append((at, until))
 
     def engine_drained(self, at: float, engine: str) -> None:
         """Records that the watch server announced the drain of an engine."""
@@ -173,7 +181,7 @@
             del self.calls[next(iter(self.calls))]
 
     def answer_received(self, at: float, call: str, code: int, lag: float) -> None:
-        """Checks a final answer. `lag`: s by which it may have been read late."""
+        """Checks a final answer. `lag`: s by which the stand-in may have read it late."""
         record = self.note(at, call, f"answer {code}")
         if record is None:
             return
@@ -208,7 +216,10 @@
             record.abandoned_at = at
 
     def connection_closed(self, at: float, calls: list[str], killed: bool) -> None:
-        """Checks the unanswered setups of a closed caller connection. `killed`: it was closed by SIGKILL."""
+        """Checks the unanswered setups of a closed caller connection.
+
+        `killed`: it closed because its softswitch process received SIGKILL.
+        """
         for call in calls:
             record = self.note(at, call, "connection over")
             if record is None or record.answered_at is not None or record.abandoned_at is not None:
@@ -219,7 +230,7 @@
             is_loss = stopped is None or record.sent_at - stopped > SHUTDOWN_ALLOWANCE
             if killed and not is_loss:
                 self.exempt[Rule.LOST] += 1
-                continue  # the platform's rules allow SIGKILL to lose setups sent before
+                continue  # the platform's rules allow SIGKILL to lose setups sent up to then
             if not killed and at - record.sent_at < CROSSING_WINDOW:
                 self.crossed_setups += 1
                 continue
@@ -266,9 +277,9 @@
         elif previous.needs_retry_delay and previous.may_have_run:
             self.checked[Rule.QUIET_TIME] += 1
             if at - previous.ended_at + lag < self.retry_delay:
-                gap = (at - previous.ended_at) * 1000
+                elapsed_ms = (at - previous.ended_at) * 1000
                 self._report_violation(
-                    Rule.QUIET_TIME, at, call, f"{gap:.0f} ms after the end of the previous attempt"
+                    Rule.QUIET_TIME, at, call, f"{elapsed_ms:.0f} ms after the end of the previous attempt"
                 )
         if not record.idempotent:
             self.checked[Rule.REPEATED] += 1
@@ -282,11 +293,12 @@
             )
 
     def _check_drain(self, at: float, call: str, engine: str, record: CallRecord) -> None:
-        surroundings = self.surroundings_of(record.process)
+        history = self.history_of(record.process)
         for draining_engine, drained_at in self.drained_at.items():
-            notification = surroundings.notified_at(record.process, drained_at)
+            notification = history.notified_at(record.process, drained_at)
             if at <= notification.at + DRAIN_ALLOWANCE:
                 continue
+            # Counted for each draining engine, even if the attempt went to another one.
             self.checked[Rule.DRAINED] += 1
             self.exempt[Rule.DRAINED] += notification.exempt
             if draining_engine == engine:
@@ -382,15 +394,14 @@
             self._check_overlap(*self._overlapping_attempts.popleft(), lag)
 
     def _check_release(self, now: float, deadline: float, call: str, lag: float) -> None:
+        """Checks a release to a caller after RELEASE_TIMEOUT; if still missing, after MAX_RELEASE_TIMEOUT."""
         record = self.calls.get(call)
         if record is None or record.released_by_engine is None or record.released_by_caller is not None:
             return
         released, notified_at = record.released_by_engine, record.released_to_caller
         first_check = deadline < released + MAX_RELEASE_TIMEOUT
-        # False while connections come and go.
-        connected = self.surroundings_of(record.process).callers_connected(
-            released, released + RELEASE_TIMEOUT
-        )
+        # False if no caller was connected at some time within RELEASE_TIMEOUT of the release.
+        connected = self.history_of(record.process).callers_connected(released, released + RELEASE_TIMEOUT)
         limit = RELEASE_TIMEOUT if connected else MAX_RELEASE_TIMEOUT
         if first_check:
             self.checked[Rule.RELEASED] += 1
@@ -424,8 +435,8 @@
         if record is None:
             self.violations.append(RuleViolation(rule, at, who, detail))
             return
-        surroundings = self.timeline.between(softswitch_of(record.process), record.sent_at, at)
-        self.violations.append(RuleViolation(rule, at, who, detail, tuple(record.events), surroundings))
+        timeline = self.timeline.between(softswitch_of(record.process), record.sent_at, at)
+        self.violations.append(RuleViolation(rule, at, who, detail, tuple(record.events), timeline))
 
 
 @dataclass(frozen=True, slots=True)
--- a/softswitch/standin/soak/plan.py
+++ b/softswitch/standin/soak/plan.py
@@ -1,4 +1,4 @@
-"""The plan of a soak, generated from its seed: sizes, settings, signals, engine faults, silences, crowds.
+"""The plan of a soak, generated from its seed: sizes, settings, and the faults with their times.
 
 A seed always generates the same plan. Times are in s; times of the settings are in ms.
 """
@@ -10,12 +10,12 @@
 from random import Random
 from typing import Any
 
-MAX_COUNTED_DEADLINE = 3.0  # s; a longer deadline counts as this at a shutdown
+MAX_COUNTED_DEADLINE = 3.0  # s; at a shutdown, a longer deadline of a call class counts as this
 MAX_COUNTED_DEADLINE_REPLACED = 5.0  # s; the same if another process has taken over
 STOP_ALLOWANCE = 0.7  # s after the longest counted deadline, until SIGKILL is allowed
 FIRST_EPISODE = 2.0  # s; earliest time of the first series of signals
 EPISODE_GAP = (6.0, 9.0)  # s between two series of signals at one softswitch
-TICKS = (1.0, 2.0, 5.0, 10.0, 20.0)  # ms
+TICKS = (1.0, 2.0, 5.0, 10.0, 20.0)  # ms; choices for the setting `tick`
 DRAIN_SECONDS = (3.0, 15.0)  # s from an engine's drain to its end
 IDEMPOTENCY = ("read_like", "non_idempotent", "other")
 
@@ -36,13 +36,13 @@
 
     HANG = "hangs"
     RESET = "resets its connections"
-    DRAIN = "drains, goes and comes back cold"
+    DRAIN = "drains, goes and comes back cold"  # drains, stops and restarts as a new engine
 
 
 class AttemptFault(StrEnum):
     """What an engine does with an attempt instead of serving it."""
 
-    FULL = "processor full, with a wait"
+    FULL = "processor full, with a wait"  # rejected, with a time until the next attempt
     NO_CIRCUIT = "no circuit"
     ERROR = "error"
     BUSY = "number busy"
@@ -52,15 +52,16 @@
 
 FaultMix = tuple[tuple[AttemptFault, float], ...]  # faults with their weights
 
-# A full processor closes an engine's gate for a long time, and calls that are rejected at once are not
-# retried. Therefore most seeds don't have it.
+# A rejection for a full processor closes the softswitch's gate to that engine for a long time, and calls that
+# the closed gate rejects are not retried. Therefore only one mix contains it.
 FAULT_MIXES: tuple[FaultMix, ...] = (
     ((AttemptFault.BUSY, 8.0), (AttemptFault.RESET, 1.0)),
     ((AttemptFault.BUSY, 8.0), (AttemptFault.ERROR, 1.0)),
     ((AttemptFault.BUSY, 6.0), (AttemptFault.NO_CIRCUIT, 4.0), (AttemptFault.RESET, 1.0)),
     tuple((fault, 1.0) for fault in AttemptFault),
 )
-# Used if no class may be retried after an attempt that may have run.
+# The faults, and the fraction of attempts with one, if no class may be retried after an attempt that may have
+# run.
 NO_CIRCUIT_ONLY: FaultMix = ((AttemptFault.NO_CIRCUIT, 1.0),)
 NO_CIRCUIT_FRACTION = 0.3
 
@@ -71,7 +72,7 @@
 
     faulty_attempts: float  # fraction of attempts
     attempt_faults: FaultMix
-    drains: tuple[tuple[float, int, float], ...]  # (start, engine, duration)
+    drains: tuple[tuple[float, int, float], ...]  # (start, index of the engine, duration)
     leave_early: float  # fraction of setups that callers abandon before their deadline
     hang_up: float  # fraction of established calls that callers release
 
@@ -92,7 +93,7 @@
         return self.idempotency == "read_like"
 
     def as_lane(self) -> dict[str, Any]:
-        """Returns the class in the form of the settings."""
+        """Returns the class as an entry of the settings' `lanes` key."""
         return {
             "name": self.name,
             "aim": self.aim,
@@ -108,7 +109,7 @@
     """A series of signals to one softswitch, with its time."""
 
     at: float
-    softswitch: int
+    softswitch: int  # index
     signals: Signals
     gap: float  # s from the first signal, or the start, to the second signal
 
@@ -118,9 +119,9 @@
     """A fault of one engine, with its time."""
 
     at: float
-    engine: int
+    engine: int  # index; the fault affects this engine of each softswitch
     fault: EngineFault
-    seconds: float
+    seconds: float  # duration, if the fault has one
 
 
 @dataclass(frozen=True, slots=True)
@@ -142,18 +143,18 @@
     softswitches: int
     engines: int
     rate: float  # calls per s, over all softswitches
-    tick: float
+    tick: float  # ms
     classes: tuple[CallClassPlan, ...]
-    clear_wait: float
+    clear_wait: float  # retry delay, ms
     max_attempts: int
-    may_cancel: bool
+    may_cancel: bool  # this and the next two are settings of the softswitches
     probes: bool
     retry_after: bool
-    descriptors: int
-    memory_mb: int
+    descriptors: int  # max open descriptors of a process
+    memory_mb: int  # max memory of a process
     signals: tuple[Episode, ...]
     faults: tuple[EngineEpisode, ...]
-    silent_board: tuple[tuple[float, float], ...]  # (start, duration)
+    silent_board: tuple[tuple[float, float], ...]  # silences of the watch servers: (start, duration)
     crowds: tuple[Crowd, ...]
     pressure: Pressure
 
@@ -188,7 +189,7 @@
         }
 
     def report(self) -> dict[str, Any]:
-        """Returns all fields for a JSON object."""
+        """Returns all fields, under their names, for a JSON object."""
         return asdict(self)
 
 
--- a/softswitch/standin/soak/planted.py
+++ b/softswitch/standin/soak/planted.py
@@ -28,8 +28,8 @@
 
 LATE_RELEASE = 2_500.0  # ms
 LATE_ANSWER = 6_000.0  # ms; longer than any deadline of a soak
-FAULT_PERIOD = 10  # a fault affects every tenth call or message
-EXTRA_TIME = 1_000.0  # ms
+FAULT_PERIOD = 10  # faults that affect only some calls or messages affect every tenth
+EXTRA_TIME = 1_000.0  # ms that a setup carries in excess of the remaining time
 LEAKED_BYTES = 1 << 20  # per setup
 EXIT_CODE = 3
 
@@ -48,7 +48,7 @@
 
 
 def _every_nth() -> Callable[[], bool]:
-    """Returns a function that is true at every FAULT_PERIOD-th call."""
+    """Returns a function that returns True every FAULT_PERIOD-th time."""
     calls = count(1)
     return lambda: next(calls) % FAULT_PERIOD == 0
 
@@ -173,7 +173,7 @@
 
 @register_fault
 def longer_deadline() -> None:
-    """Setups carry more time than the caller has left."""
+    """Setups carry more time than remains until the caller's deadline."""
     old = engine_link.encode_setup
     engine_link.encode_setup = lambda call, now: old(call, now - EXTRA_TIME)
 
--- a/softswitch/standin/soak/run.py
+++ b/softswitch/standin/soak/run.py
@@ -31,7 +31,7 @@
 from softswitch.standin.soak.plan import Crowd, EngineEpisode, EngineFault, Episode, Plan, Signals
 from softswitch.standin.soak.world import CrowdConnection, LagMeter, SoakCallers, SoakEngine, SoakWatchServer
 
-# Each softswitch has its own address, and each of its processes the next management port.
+# Each softswitch has an address of its own. Its first process uses MGMT_PORT, each later one the next port.
 SIP_PORT, MGMT_PORT = 5_060, 15_000
 INITIAL_RETRY_AFTER = 2_000.0  # ms; the longest delay that rejected callers are asked to wait
 HOLD = 2.0  # s; mean holding time
@@ -47,7 +47,7 @@
 FINAL_ANSWERS_DELAY = 1.0  # s after the longest deadline until the processes are stopped
 RESERVED_DESCRIPTORS = 300  # of this process, not available to a crowd
 PARTIAL_MESSAGE = b"INVITE sip:77@net SIP/2.0\r\nCall-ID: "
-EARLY_EXIT_STATUSES = (0, -signal.SIGTERM)  # SIGTERM kills a process without a handler
+EARLY_EXIT_STATUSES = (0, -signal.SIGTERM)  # SIGTERM kills a process that has no signal handler yet
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,22 +55,22 @@
     """Counters and violations of a soak."""
 
     plan: Plan
-    calls: int
+    calls: int  # setups sent
     answers: int
-    late: int
-    left: int
-    crossed: int
+    late: int  # answers up to ANSWER_ALLOWANCE after the deadline
+    left: int  # setups that their callers abandoned
+    crossed: int  # unanswered setups that crossed with the end of their connection
     attempts: int
-    releases: int
-    signals: dict[str, int]
-    processes: int
+    releases: int  # by engines
+    signals: dict[str, int]  # how often each series of signals was sent
+    processes: int  # started
     stand_in_lag: float  # s; max
     judged: dict[str, int]  # how often each rule was checked
     excused: dict[str, int]  # how many of these checks were exempt or had a wider limit
-    broken: tuple[RuleViolation, ...]
+    broken: tuple[RuleViolation, ...]  # the violations
 
     def report(self) -> dict[str, Any]:
-        """Returns all fields for a JSON object."""
+        """Returns all fields, under their names, for a JSON object."""
         return asdict(self)
 
 
@@ -195,17 +195,17 @@
         self.processes.append(process)
         self.note(f"{process.name} started")
         replaces = any(p.running for p in self.processes[:-1])
-        self.soak.checker.surroundings_of(self.name).process_started(self.soak.now(), process.name, replaces)
+        self.soak.checker.history_of(self.name).process_started(self.soak.now(), process.name, replaces)
         return process
 
     async def wait_until_ready(self, process: Process, within: float) -> bool:
-        """Returns whether the process reports that it is ready in time."""
+        """Waits up to `within` s until the process reports that it is ready. Returns whether it did."""
         until = self.soak.now() + within
         while self.soak.now() < until and process.running:
             if await self.soak.request(process, "GET /v1/readyz") == HTTP_OK:
                 self.serving = process.name
                 self.note(f"{process.name} ready")
-                self.soak.checker.surroundings_of(self.name).process_ready(self.soak.now(), process.name)
+                self.soak.checker.history_of(self.name).process_ready(self.soak.now(), process.name)
                 return True
             await self.soak.sleep(POLL_INTERVAL)
         self.soak.checker.process_not_ready(self.soak.now(), process.name, within)
--- a/softswitch/standin/soak/surroundings.py
+++ b/softswitch/standin/soak/surroundings.py
@@ -1,4 +1,4 @@
-"""The history of one softswitch's processes and connections, as far as it exempts calls from the rules.
+"""The history of one softswitch's processes and connections, from which the checker derives exemptions.
 
 This module uses no sockets and no clock: callers pass the times, in seconds. An exemption applies to one
 process or one call, never to all of them.
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-# s after an event of the watch server; then every process counts as notified, whatever happened.
+# s after an event of the watch server; by then every process counts as notified, even after a silence.
 MAX_NOTIFICATION_DELAY = 7.0
 # s after a replacement is ready; then both processes are expected to act on the watch server's events.
 REPLACEMENT_DELAY = 2.0
@@ -30,11 +30,11 @@
     """When a process counts as notified of an event of the watch server."""
 
     at: float
-    exempt: bool = False  # later than the event
+    exempt: bool = False  # later than the event: checks that depend on it have a wider limit
 
 
 @dataclass(slots=True)
-class Surroundings:
+class SoftswitchHistory:
     """Processes, watch server silences and caller outages of one softswitch."""
 
     processes: dict[str, ProcessTimes] = field(default_factory=dict)
@@ -52,7 +52,7 @@
             self.processes[process].ready_at = at
 
     def notified_at(self, process: str, event_at: float) -> Notification:
-        """Returns when the process counts as notified of an event that the watch server had at `event_at`."""
+        """Returns when the process counts as notified of an event of the watch server at `event_at`."""
         times = self.processes.get(process)
         if times is not None and event_at <= times.started_at:
             return Notification(times.started_at)
@@ -63,7 +63,10 @@
         return Notification(min(received_at, event_at + MAX_NOTIFICATION_DELAY), received_at > event_at)
 
     def _event_received_at(self, times: ProcessTimes | None, event_at: float) -> float:
-        """Returns when the process can receive the event, without regard to silences."""
+        """Returns when the process can receive the event, without regard to silences.
+
+        During a replacement, either process may receive it only when REPLACEMENT_DELAY has passed.
+        """
         if times is not None and event_at < times.ready_at:
             return times.ready_at + (REPLACEMENT_DELAY if times.replaces else 0.0)
         for successor in self.processes.values():
@@ -75,7 +78,7 @@
         return event_at
 
     def caller_connected(self, at: float) -> None:
-        """Records that a caller uses a connection to the softswitch."""
+        """Records that a caller has sent a setup on a new connection to the softswitch."""
         start, end = self.outages[-1]
         if end == inf:
             self.outages[-1] = (start, at)
@@ -87,5 +90,5 @@
             del self.outages[:-MAX_OUTAGES]
 
     def callers_connected(self, since: float, until: float) -> bool:
-        """Returns whether a caller was connected all the time from `since` to `until`."""
+        """Returns whether a caller was connected at every time from `since` to `until`."""
         return not any(start < until and end > since for start, end in self.outages)
--- a/softswitch/standin/soak/timeline.py
+++ b/softswitch/standin/soak/timeline.py
@@ -24,7 +24,7 @@
         events.append((at, event))
 
     def between(self, softswitch: str, since: float, until: float) -> tuple[str, ...]:
-        """Returns the latest events of that time, one line each."""
+        """Returns the latest events from `since` to `until`, one line each."""
         events = self._events.get(softswitch, ())
         lines = [f"{at:.3f} {event}" for at, event in events if since <= at <= until]
         return tuple(lines[-MAX_REPORTED:])
--- a/softswitch/standin/soak/world.py
+++ b/softswitch/standin/soak/world.py
@@ -1,4 +1,4 @@
-"""Stand-ins of a soak: they produce the plan's faults and report events to the checker."""
+"""Stand-ins of a soak, which produce the plan's faults and report events to the checker."""
 
 from __future__ import annotations
 
@@ -29,9 +29,8 @@
     AttemptFault.BUSY: (17, b"number_busy"),
     AttemptFault.RESET: (41, b""),
 }
-SHORT_DELAY = (
-    0.06  # s; half of the early abandonments come within this time, since most calls are answered soon
-)
+# s; half of the callers that abandon do so within this time, since most calls are answered soon.
+SHORT_DELAY = 0.06
 NUMBERS = 1_000  # distinct called numbers, so that a busy number is rarely called again soon
 HUNG_CALL_RETRY = 0.2  # s until a hung engine tries again to end a call
 
@@ -82,11 +81,11 @@
         super().__init__(reactor, settings, seed)
         self.pressure = pressure
         self.rng = Random(f"attempts {seed}")
-        self.softswitch = softswitch  # the softswitch that it serves
+        self.softswitch = softswitch  # name of the softswitch that this engine serves
         self.checker = checker
         self.lag = lag
         self.hung = False
-        self.attempts: dict[str, EngineConnection] = {}  # in flight, by call
+        self.attempts: dict[str, EngineConnection] = {}  # in flight: call -> connection
         self.written_releases: dict[str, int] = {}  # call -> cause, since the last connection was opened
 
     def _attempt_ended(
@@ -158,7 +157,7 @@
     def connection_closed(self, connection: EngineConnection) -> None:
         """Ends the attempts on a closed connection."""
         self._note(connection, "connection closed")
-        for call in [call for call, at in self.attempts.items() if at is connection]:
+        for call in [call for call, used in self.attempts.items() if used is connection]:
             self._attempt_ended(call, "connection closed")
         super().connection_closed(connection)
 
@@ -178,7 +177,7 @@
     def reset_connections(self) -> None:
         """Resets all connections; the engine itself continues."""
         for connection in list(self.connections):
-            for call in [call for call, at in self.attempts.items() if at is connection]:
+            for call in [call for call, used in self.attempts.items() if used is connection]:
                 self._attempt_ended(call, "connection reset")
             connection.transport.abortConnection()
 
@@ -269,7 +268,7 @@
         self.lag = lag
         self.serving_process = serving_process  # returns the process that accepts new connections
         self.was_killed = was_killed  # whether a process was just killed with SIGKILL
-        self.connected_to = ""
+        self.connected_to = ""  # name of the process at the other end
         self.carried_setup = False  # whether a setup was sent on this connection
         self.pressure = pressure
         self.rng = Random(f"callers {seed}")
@@ -285,7 +284,7 @@
         """Reports the connection's pending setups, which remain unanswered."""
         self._note("caller's connection closed")
         if self.connection is connection:
-            self.checker.surroundings_of(self.serving_process()).caller_disconnected(self.now())
+            self.checker.history_of(self.serving_process()).caller_disconnected(self.now())
             self.checker.connection_closed(self.now(), list(self.pending), self.was_killed())
         super().connection_down(connection)
 
@@ -297,7 +296,7 @@
         return float(self.reactor.seconds())
 
     def place_call(self, call_class: CallClassPlan, destination: int, answer_timeout: float) -> None:
-        """Places one call, unless there is no open connection."""
+        """Places one call to a destination cell, unless there is no open connection."""
         if self.connection is None:
             return
         self.answer_timeout = answer_timeout
@@ -307,9 +306,9 @@
         fields = SetupFields(call_class.name, number, self.pending[call].description)
         self.checker.setup_sent(now, call, answer_timeout, call_class.idempotent, self.connected_to, fields)
         self.pending[call].timer.reset(answer_timeout + ANSWER_ALLOWANCE)
-        if not self.carried_setup:  # a connection with only OPTIONS (health checks) carries no releases
+        if not self.carried_setup:  # releases are not sent on a connection that has carried only OPTIONS
             self.carried_setup = True
-            self.checker.surroundings_of(self.connected_to).caller_connected(now)
+            self.checker.history_of(self.connected_to).caller_connected(now)
         if self.rng.random() < self.pressure.leave_early:
             max_delay = self.rng.choice((min(answer_timeout, SHORT_DELAY), answer_timeout))
             self.reactor.callLater(self.rng.uniform(0.0, max_delay), self._abandon, call)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -34,10 +34,10 @@
 
 def make_checker(idempotent=True):
     checker = Checker(CLEAR_WAIT, max_attempts=2)
-    surroundings = checker.surroundings_of("n0")
-    surroundings.process_started(-100.0, "n0.0")
-    surroundings.process_ready(-99.0, "n0.0")
-    surroundings.caller_connected(-99.0)
+    history = checker.history_of("n0")
+    history.process_started(-100.0, "n0.0")
+    history.process_ready(-99.0, "n0.0")
+    history.caller_connected(-99.0)
     checker.setup_sent(0.0, CALL, PATIENCE, idempotent, "n0.0", FIELDS)
     return checker
 
@@ -160,30 +160,30 @@
 
 
 def violates_drain_rule(at, prepare):
-    """Whether a setup at second 20 violates the rule, with a drain at `at`; `prepare` sets surroundings."""
+    """Whether a setup at second 20 violates the rule, with a drain at `at`; `prepare` changes the history."""
     checker = make_checker()
-    prepare(checker.surroundings_of("n0"))
+    prepare(checker.history_of("n0"))
     checker.engine_drained(at, A)
     checker.setup_sent(20.0, "b", 9.0, True, "n0.1")
     checker.attempt_received(20.0, "b", A, 0.0)
     return violated_rules(checker) == [Rule.DRAINED]
 
 
-def replaced(surroundings):
-    surroundings.process_started(10.0, "n0.1", replaces=True)
-    surroundings.process_ready(15.0, "n0.1")
+def replaced(history):
+    history.process_started(10.0, "n0.1", replaces=True)
+    history.process_ready(15.0, "n0.1")
 
 
 def test_when_a_process_counts_as_notified_of_a_drain():
     """An exemption applies to one process only, and for no longer than the documentation says."""
 
-    def started(surroundings):
-        surroundings.process_started(10.0, "n0.1")
-        surroundings.process_ready(11.0, "n0.1")
+    def started(history):
+        history.process_started(10.0, "n0.1")
+        history.process_ready(11.0, "n0.1")
 
-    def silent(surroundings):
-        started(surroundings)
-        surroundings.silences.append((12.0, 16.0))
+    def silent(history):
+        started(history)
+        history.silences.append((12.0, 16.0))
 
     cases = [
         (started, 17.9, True),
@@ -208,14 +208,14 @@
     assert violates_drain_rule(10.5, lambda s: (started(s), s.silences.append((8.0, 18.1)))) is True
     assert violates_drain_rule(11.5, lambda s: (started(s), s.silences.append((8.0, 18.1)))) is False
     checker = make_checker()
-    replaced(checker.surroundings_of("n0"))
+    replaced(checker.history_of("n0"))
     # The delay applies to both processes during the replacement.
-    assert checker.surroundings_of("n0").notified_at("n0.0", 14.0).at == 15.0 + REPLACEMENT_DELAY
-    assert checker.surroundings_of("n0").notified_at("n0.0", 9.9).at == 9.9
-    started(checker.surroundings_of("n1"))  # another softswitch's process exempts nothing here
-    assert checker.surroundings_of("n0").notified_at("n0.0", 9.9).exempt is False
-    checker.surroundings_of("n0").silences.append((20.0, 99.0))
-    assert checker.surroundings_of("n0").notified_at("n0.0", 21.0).at == 21.0 + MAX_NOTIFICATION_DELAY
+    assert checker.history_of("n0").notified_at("n0.0", 14.0).at == 15.0 + REPLACEMENT_DELAY
+    assert checker.history_of("n0").notified_at("n0.0", 9.9).at == 9.9
+    started(checker.history_of("n1"))  # another softswitch's process exempts nothing here
+    assert checker.history_of("n0").notified_at("n0.0", 9.9).exempt is False
+    checker.history_of("n0").silences.append((20.0, 99.0))
+    assert checker.history_of("n0").notified_at("n0.0", 21.0).at == 21.0 + MAX_NOTIFICATION_DELAY
 
 
 def test_a_release_that_is_not_forwarded():
@@ -243,9 +243,9 @@
     assert violated_rules(checker) == [Rule.RELEASED]
     checker = make_checker()
     established(checker)
-    checker.surroundings_of("n1").caller_disconnected(0.5)  # another softswitch
-    checker.surroundings_of("n0").caller_disconnected(0.5)
-    checker.surroundings_of("n0").caller_connected(1.2)
+    checker.history_of("n1").caller_disconnected(0.5)  # another softswitch
+    checker.history_of("n0").caller_disconnected(0.5)
+    checker.history_of("n0").caller_connected(1.2)
     checker.engine_released(1.0, CALL)
     checker.advance(1.1 + RELEASE_TIMEOUT, LAG)
     checker.advance(1.0 + MAX_RELEASE_TIMEOUT, LAG)
