--- a/softswitch/standin/addresses.py
+++ b/softswitch/standin/addresses.py
@@ -10,7 +10,7 @@
 import os
 from itertools import count
 
-FIRST_BLOCK = 64  # blocks are 127.64.0.0/24 and up
+FIRST_BLOCK = 64  # each process has a block of addresses, 127.64.0.0/24 or above, which its pid selects
 BLOCKS = 128
 HOSTS_PER_BLOCK = 250
 
@@ -25,5 +25,5 @@
 
 
 def own_host() -> str:
-    """Returns one such address."""
+    """Returns one address that no other process on this machine uses."""
     return own_hosts(1)[0]
--- a/softswitch/standin/board.py
+++ b/softswitch/standin/board.py
@@ -10,7 +10,7 @@
 
 from softswitch.net.endpoint_watch import CHANGES, COMPLETE, ENDPOINT_RECORD, EVENT_HEADER, NO_CHANGE
 
-STATE_CODES = {"active": 0, "leaving": 1, "left": 2}
+STATE_CODES = {"active": 0, "leaving": 1, "left": 2}  # "leaving": draining; "left": removed
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,9 +20,9 @@
     name: str  # `s-` and 8 hex digits
     address: tuple[str, int]
     cell: int
-    health: str = "active"
-    born_ms: int = 0
-    share: float = 1.0
+    health: str = "active"  # a key of STATE_CODES
+    born_ms: int = 0  # Unix time of its last start; 0: long ago
+    share: float = 1.0  # size relative to other engines
 
     def record(self) -> bytes:
         """Encodes the entry for the wire."""
@@ -39,7 +39,7 @@
         )
 
     def as_host(self) -> dict[str, Any]:
-        """Returns the entry in the form of the configuration's `known` key."""
+        """Returns the entry as one of the `hosts` in the configuration's `known` key."""
         return {
             "host": self.name,
             "dial": f"{self.address[0]}:{self.address[1]}",
@@ -125,7 +125,7 @@
             connection.transport.abortConnection()
 
     def change(self, *changed: ListedEngine) -> None:
-        """Sends these entries, new or changed, to all connected softswitches."""
+        """Sends new or changed entries to all connected softswitches."""
         self.event_number += 1
         self.listed |= {entry.name: entry for entry in changed}
         self.events.append((self.event_number, CHANGES, b"".join(entry.record() for entry in changed)))
@@ -138,7 +138,7 @@
                 del self.listed[entry.name]
 
     def known(self) -> dict[str, Any]:
-        """Returns the initial event list for a softswitch's configuration."""
+        """Returns the `known` key of a softswitch's configuration: the present list as its first event."""
         hosts = [entry.as_host() for entry in self.listed.values()]
         return {
             "rev": self.event_number,
--- a/softswitch/standin/caller.py
+++ b/softswitch/standin/caller.py
@@ -30,7 +30,7 @@
     second_answers: int = 0  # repeated final responses to established calls
     wrong_description: int = 0  # answers without the description of their setup
     delay_s: float = 0.0  # sum of the setup delays of established tries
-    codes: Counter[int] = field(default_factory=Counter)
+    codes: Counter[int] = field(default_factory=Counter)  # tries by final response; 0: none
 
     def add(self, other: Tally) -> None:
         """Adds the counters of `other`."""
@@ -39,7 +39,7 @@
         self.codes.update(other.codes)
 
     def as_dict(self) -> dict[str, Any]:
-        """Returns the counters for a JSON object."""
+        """Returns the counters, under their names, for a JSON object."""
         return {name: getattr(self, name) for name in COUNTERS} | {
             "codes": {str(code): n for code, n in sorted(self.codes.items())}
         }
@@ -54,7 +54,7 @@
 
     stream: StreamSettings
     tally: Tally
-    at: float  # when the setup was sent
+    at: float  # when the setup was sent, s
     redial_number: int  # 0 for the first try
     description: bytes
     timer: Any = None
@@ -152,12 +152,12 @@
         self.answer_timeout, self.tries, self.redial_probability = answer_timeout, tries, redial_probability
         self.redial_delay, self.honour_retry_after = redial_delay, honour_retry_after
         self.connection: CallerConnection | None = None
-        self.pending: dict[str, PendingTry] = {}
-        self.established: dict[str, Tally] = {}
-        self.tallies: dict[tuple[str, int], Tally] = {}
+        self.pending: dict[str, PendingTry] = {}  # by call
+        self.established: dict[str, Tally] = {}  # by call
+        self.tallies: dict[tuple[str, int], Tally] = {}  # by class and preferred cell
         self.last_call_id = self.random.getrandbits(48)
         self.scheduled_redials = 0
-        self.on_ready: Callable[[], None] | None = None
+        self.on_ready: Callable[[], None] | None = None  # called once, at the first response to OPTIONS
 
     def connect(self) -> None:
         """Opens the connection, and reopens it whenever it closes."""
@@ -169,7 +169,7 @@
         return CallerConnection(self)
 
     def connection_up(self, connection: CallerConnection) -> None:
-        """Uses the open connection, and sends OPTIONS to learn when the softswitch is ready."""
+        """Uses the open connection, and sends OPTIONS, whose response calls `on_ready`."""
         self.connection = connection
         connection.send("OPTIONS sip:ping@net SIP/2.0", "00" * 8, "OPTIONS")
 
@@ -228,7 +228,10 @@
         self._fail_try(call, 0, 0.0)
 
     def _fail_try(self, call: str, code: int, retry_after: float) -> None:
-        """Counts a failed try and schedules a redial where one follows. `code` 0: no response."""
+        """Counts a failed try, and either schedules a redial or counts the call as lost.
+
+        `code` 0: no response. `retry_after`: s that the response asks the caller to wait.
+        """
         pending_try = self.pending.pop(call)
         if pending_try.timer.active():
             pending_try.timer.cancel()
--- a/softswitch/standin/engine.py
+++ b/softswitch/standin/engine.py
@@ -44,7 +44,7 @@
     """Name, capacity and processing times of one engine."""
 
     name: str  # `s-` and 8 hex digits
-    cell: int
+    cell: int  # the cell that it belongs to; calls may prefer one
     circuits: int = 1000
     widths: dict[str, int] = field(default_factory=dict)  # circuits per call, by class; default 1
     hold: dict[str, float] = field(default_factory=dict)  # mean holding time in s, by class; default 8
@@ -125,8 +125,8 @@
 class Engine(Factory):
     """One engine.
 
-    `reactor` provides the clock, timers and sockets. `observer` is called with "set-up", "stands" or
-    "over" and the call's id.
+    `reactor` provides the clock, timers and sockets. `observer` is called with an event and the call's id:
+    "set-up" (received), "stands" (established) or "over" (released by the engine).
     """
 
     noisy = False
@@ -144,10 +144,11 @@
         self.on_setup: Callable[[str, str], None] | None = None
         self.connections: dict[EngineConnection, None] = {}
         self.calls: dict[str, EngineCall] = {}
-        self.unsent_releases: dict[
-            str, bytes
-        ] = {}  # call -> cause, while no connection is open; at most 4,096
-        self.used = 0
+        # Releases without an open connection to send them on: call -> cause. At most 4,096.
+        self.unsent_releases: dict[str, bytes] = {}
+        self.used = 0  # circuits that calls hold
+        # By event, under the names in reports: "stood" counts answers, "ended" calls that the engine ended,
+        # "given up" setups withdrawn from the queue, and "fell" crashes.
         self.count: Counter[str] = Counter()
         self.circuit_seconds, self.used_changed_at = 0.0, reactor.seconds()  # integral of `used`
         self.setup_queue: deque[tuple[float, Callable[[], None]]] = deque()
@@ -156,10 +157,8 @@
         self.slowdown = 1.0  # factor on all processing times
         self.port: Any = None
         self.address: tuple[str, int] | None = None
-        self.started_at: float | None = (
-            None  # time of the last restart; None: the engine is warm from the start
-        )
-        self.on_started: Callable[[Engine], None] | None = None
+        self.started_at: float | None = None  # time of the last restart; None: has not restarted, warmed up
+        self.on_started: Callable[[Engine], None] | None = None  # called after each restart
         self.recent_setups: deque[float] = deque()  # times in the last `overload_window`, while warming up
         self.state_timer: Any = None
         self.queued_setups: dict[str, EngineConnection] = {}  # by call
@@ -212,6 +211,7 @@
             * fraction
             * self.settings.overload_window
         )
+        # The maximum load during warm-up, in % of the limit.
         self.count["most of what a cold engine bears, %"] = max(
             self.count["most of what a cold engine bears, %"], round(100 * len(self.recent_setups) / limit)
         )
@@ -255,7 +255,7 @@
         self.used_changed_at, self.used = now, self.used + circuits
 
     def _enqueue(self, fraction: float, work: Callable[[], None], is_setup: bool = False) -> None:
-        """Queues a piece of work that takes `fraction` of a setup's processor time.
+        """Queues `work`, which takes `fraction` of a setup's processor time.
 
         Work that takes no time is done at once if the processor is idle.
         """
@@ -314,9 +314,9 @@
     def connection_closed(self, connection: EngineConnection) -> None:
         """Drops the connection's pending setups. Established calls continue."""
         self.connections.pop(connection, None)
-        for call in [c for c, at in self.queued_setups.items() if at is connection]:
+        for call in [c for c, used in self.queued_setups.items() if used is connection]:
             del self.queued_setups[call]
-        for call in [c for c, s in self.calls.items() if s.connection is connection and not s.answered]:
+        for call in [c for c, e in self.calls.items() if e.connection is connection and not e.answered]:
             self._remove_call(call)
 
     def message_received(
@@ -431,8 +431,8 @@
             self.unsent_releases[call] = bytes((cause,))
 
     def cut(self, fraction: float) -> int:
-        """Cuts a random fraction of the established calls and returns their number."""
-        cut_calls = [c for c, s in self.calls.items() if s.answered and self.random.random() < fraction]
+        """Releases a random fraction of the established calls with cause CUT, and returns their number."""
+        cut_calls = [c for c, e in self.calls.items() if e.answered and self.random.random() < fraction]
         for call in cut_calls:
             connection = self.calls[call].connection
             self._remove_call(call)
--- a/softswitch/standin/faults/audit.py
+++ b/softswitch/standin/faults/audit.py
@@ -1,8 +1,8 @@
 """Checks budgets from outside: sums what real processes hold, use and send to the engines.
 
-It compares three independent sources with the total of each budget: the slots that each process reports to
-hold, the times at which each process reports to have spent one (all run on one machine with one clock), and
-the set-ups that the stand-in engines received.
+It compares three independent sources with the total of each budget: the slots that each process reports it
+holds, the times at which each process reports it spent a slot (all run on one machine with one clock), and
+the setups that the stand-in engines received.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 # Ms; older reports are left out of a sum. A freed slot cools down for longer, so none is counted twice.
 MAX_REPORT_AGE = 800.0
-# Ms that may pass from spending a slot until an engine receives the set-up; windows at engines are shorter by
+# Ms that may pass from spending a slot until an engine receives the setup; windows at engines are shorter by
 # this time.
 MAX_TRANSIT_TIME = 100.0
 
@@ -21,31 +21,31 @@
 class ObservedBudget:
     """The observed use of one budget."""
 
-    total: int
-    window: float  # ms
-    resource: str
-    call_class: str
-    max_held: int = 0
-    spent: dict[tuple[int, float], None] = field(default_factory=dict)  # process and time, ms
+    total: int  # slots
+    window: float  # ms in which a slot can be used once
+    resource: str  # "set-ups" (first attempts), "repeats" (retries), or a shared resource
+    call_class: str  # empty: all
+    max_held: int = 0  # slots, by all processes together
+    spent: dict[tuple[int, float], None] = field(default_factory=dict)  # set of (process, time in ms)
     arrivals: list[float] = field(default_factory=list)  # at the engines, ms
 
     def max_spent(self) -> int:
-        """The maximum that was spent in any window."""
+        """The maximum number of slots that were spent in any window."""
         return max_within([at for _, at in self.spent], self.window)
 
     def max_arrived(self) -> int:
-        """The maximum that arrived at the engines in any window."""
+        """The maximum number of setups that arrived at the engines in any window."""
         return max_within(self.arrivals, self.window - MAX_TRANSIT_TIME)
 
 
 def max_within(times: list[float], window: float) -> int:
-    """The maximum number of these times in any half-open window of that many ms."""
-    ordered, first, most = sorted(times), 0, 0
+    """The maximum number of times in any half-open interval of `window` ms."""
+    ordered, first, maximum = sorted(times), 0, 0
     for n, at in enumerate(ordered):
         while ordered[first] <= at - window:
             first += 1
-        most = max(most, n - first + 1)
-    return most
+        maximum = max(maximum, n - first + 1)
+    return maximum
 
 
 class Audit:
@@ -57,13 +57,14 @@
         self.attempts: dict[str, int] = {}  # by call: attempts that arrived at engines
         for b in budgets:
             window_s, shared = b.get("over_s", 1.0), b.get("what") in ("cold", "probes")
+            # A shared resource has 1,000 slots per unit of `whole`; others have `whole` slots per second.
             total = int(b.get("whole", 1.0) * (1000 if shared else window_s) + 1e-9)
             self.observed[b["name"]] = ObservedBudget(
                 total, window_s * 1000.0, b.get("what", "set-ups"), b.get("class", "")
             )
 
     def record_held(self, n: int, view: dict[str, Any]) -> None:
-        """Records the slots that a process reports to hold, and sums the recent reports of all processes."""
+        """Records the slots that process `n` reports it holds, and sums all recent reports."""
         self.reports[n] = (view["at_ms"], {name: b["held"] for name, b in view["budgets"].items()})
         latest = view["at_ms"]
         for name, budget in self.observed.items():
@@ -75,11 +76,11 @@
         self.reports.pop(n, None)
 
     def record_spent(self, n: int, name: str, times: list[float]) -> None:
-        """Records the times at which a process reports to have spent a slot; repeated times count once."""
+        """Records the times at which process `n` reports it spent a slot; repeated times count once."""
         self.observed[name].spent.update(((n, at), None) for at in times)
 
     def record_arrival(self, now: float, call: str, call_class: str) -> None:
-        """Records a set-up that arrived at an engine: a first attempt or a retry."""
+        """Records a setup that arrived at an engine: a first attempt or a retry."""
         earlier = self.attempts.get(call, 0)
         self.attempts[call] = earlier + 1
         for budget in self.observed.values():
--- a/softswitch/standin/faults/budget_model.py
+++ b/softswitch/standin/faults/budget_model.py
@@ -50,14 +50,14 @@
 class ModelState:
     """The state of all members and of the messages in flight."""
 
-    now: float
+    now: float  # true time, ms
     clients: list[LeaseClient]
-    rates: tuple[float, ...]
+    rates: tuple[float, ...]  # of each member's clock, relative to true time
     in_flight: list[tuple[int, Any]] = field(default_factory=list)  # receiver, message
-    loaded_member: int = 0
+    loaded_member: int = 0  # the member that needs most of the slots
     load_moves: int = 0
     crashes: int = 0
-    boots: int = 0
+    boots: int = 0  # starts of all members
     # by member and budget: times of observation and slots held then
     held_history: dict[tuple[int, str], list[tuple[float, int]]] = field(default_factory=dict)
 
@@ -79,7 +79,7 @@
     def __init__(self, members: int, plan: Plan | None = None, crashes: int = 1, load_moves: int = 1) -> None:
         self.plan, self.members = plan or small_plan(members), members
         self.max_crashes, self.max_load_moves = crashes, load_moves
-        self.index = {address_of(n): n for n in range(members)}
+        self.index = {address_of(n): n for n in range(members)}  # by address
         self.violation = ""
 
     def start(self) -> ModelState:
@@ -158,7 +158,8 @@
             for n, client in enumerate(state.clients):
                 now_held = client.held(state.clock(n), b.name)
                 history = state.held_history.setdefault((n, b.name), [])
-                # Between two checks it held the slots of the earlier check until they changed or expired.
+                # Between two checks, a member holds the slots of the earlier one until they change or expire.
+                # Of three or more equal entries in a row, the first and the last suffice.
                 history.append((state.now, now_held))
                 while len(history) > 1 and history[1][0] <= state.now - b.window:
                     history.pop(0)
@@ -171,7 +172,7 @@
                 )
 
     def run_in_order(self, state: ModelState, ms: float, without: tuple[int, ...] = ()) -> None:
-        """Runs on without failures: all timers run, all messages arrive.
+        """Runs `ms` of true time without failures: all timers run, all messages arrive.
 
         The members in `without` are exempt: their timers don't run and messages to them are lost.
         """
--- a/softswitch/standin/faults/budget_simulation.py
+++ b/softswitch/standin/faults/budget_simulation.py
@@ -64,12 +64,12 @@
     client: Any = None
     spending: Spending | None = None
     up: bool = False
-    boots: int = 0
-    paused_until: float = 0.0
+    boots: int = 0  # starts
+    paused_until: float = 0.0  # true time, ms
     inbox: list[Any] = field(default_factory=list)  # messages, and names of budgets for calls
     # Paused while it handles the next lease request: the reply is sent when it resumes.
     paused_in_request: bool = False
-    unsent: list[Any] = field(default_factory=list)
+    unsent: list[Any] = field(default_factory=list)  # messages that a paused process sends when it resumes
     bytes_out: int = 0
     messages: int = 0
 
@@ -78,8 +78,8 @@
 class BudgetUsage:
     """The use of one budget in a run, in slots."""
 
-    requested: int = 0
-    spent: int = 0
+    requested: int = 0  # calls that needed a slot
+    spent: int = 0  # calls that got one
     max_spent: int = 0  # in any window
     max_held: int = 0  # by all members together
 
@@ -94,7 +94,7 @@
     usage: dict[str, BudgetUsage]
     elections: int  # of allocators
     lapses: int  # leases that expired
-    bytes_s: float
+    bytes_s: float  # sent, per second and member
     messages_s: float
     steps_over_total: int = 0  # steps at which a total was exceeded; a strict run ends at the first
 
@@ -145,7 +145,7 @@
         self.by_address = {n.address: n for n in self.nodes.values()}
         self.usage = {b.name: BudgetUsage() for b in plan.budgets}
         self.uses: dict[str, deque[float]] = {b.name: deque() for b in plan.budgets}
-        self.totals = {b.name: b.total for b in plan.budgets}  # currently in force
+        self.totals = {b.name: b.total for b in plan.budgets}  # currently in force, by budget
         self.log: list[tuple[float, str]] = []
         for name, node in self.nodes.items():
             self.call_at((join_at or {}).get(name, self.rng.uniform(0, 300)), self._start, node)
@@ -221,8 +221,8 @@
         self.call_at(self.now + self.rng.expovariate(max(rate, 0.01)) * 1000, self._call_arrived, node, name)
         if rate > 0 and node.up and node.spending is not None:
             if node.paused_until > self.now:
-                if sum(1 for item in node.inbox if item == name) < 40:
-                    node.inbox.insert(0, name)  # served first when the process resumes
+                if sum(1 for item in node.inbox if item == name) < 40:  # max waiting calls per budget
+                    node.inbox.insert(0, name)  # handled before messages when the process resumes
             else:
                 self._place_call(node, name)
 
@@ -275,7 +275,7 @@
             return
         if node.paused_until > self.now:
             if node.paused_in_request and isinstance(message, LeaseRequest):
-                node.paused_in_request = False  # it was paused while it handled this request
+                node.paused_in_request = False  # the process was paused while it handled this request
                 self._perform(node, node.client.message_received(node.clock(), message))
             elif len(node.inbox) < INBOX_SIZE:
                 node.inbox.append(message)
--- a/softswitch/standin/faults/drill.py
+++ b/softswitch/standin/faults/drill.py
@@ -1,7 +1,8 @@
 """Drills: real softswitches on loopback with relays between them, a schedule of faults, callers, a checker.
 
-The checker queries the view of each process every 100 ms and compares all views with each other and with the
-true states. The report contains the faults as they were run, which form a schedule again.
+A view is the list of members that a process reports at GET /v1/fleet. The checker queries the views of all
+processes every 100 ms and compares them with each other and with the true states. The faults that were run
+can be written as a schedule, to run them again.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 VIEW_INTERVAL = 0.1  # s between two queries of all views
 BUDGET_INTERVAL = 0.4  # s between two queries of all budgets
 QUERY_TIMEOUT = 0.8  # s
-PEER_PORT, MGMT_PORT = 7_946, 15_000  # at the own address of each process
+PEER_PORT, MGMT_PORT = 7_946, 15_000  # each process has an address of its own
 RESTART_RETRY_DELAY = 0.1  # s between two attempts to restart a process whose predecessor has not ended yet
 
 
@@ -50,7 +51,7 @@
     fault: Fault
     started_at: float  # since the start of the run
     ended_at: float | None = None  # equal to `started_at` if the fault has no duration
-    # For faults that end processes: time after `started_at` until the last view showed the end.
+    # For faults that end processes: time after `started_at` until all views showed that they ended.
     detected_after: float | None = None
     # Time after `ended_at` until all views were equal and correct.
     settled_after: float | None = None
@@ -64,23 +65,23 @@
     sites: int
     seed: int
     seconds: float
-    settled: bool
+    settled: bool  # all views were equal and correct at the start and after each fault
     start_s: float | None  # time until all views were equal and correct for the first time
     events: list[FaultEvent]
     false_gone: list[str]  # reports of members as gone that were running
-    calls: int
+    calls: int  # this and the next five: as in `caller.Tally`
     carried: int
     cut: int
     unanswered: int
     second_answers: int
     wrong_descriptions: int
     view_queries: int
-    failed_queries: int  # queries of a view without an answer
+    failed_queries: int  # queries that returned no view
     budgets: dict[str, Any] = field(default_factory=dict)  # by budget: total, and maximums of `audit.Audit`
-    exceeded_budgets: list[str] = field(default_factory=list)
+    exceeded_budgets: list[str] = field(default_factory=list)  # names
 
     def to_dict(self) -> dict[str, Any]:
-        """The results, for a JSON object."""
+        """The results, for a JSON object, whose keys differ from the names of the fields."""
         faults = [
             {
                 "what": e.fault.what,
@@ -147,7 +148,7 @@
 class Drill(Fleet):
     """Runs one drill.
 
-    Without `view` the processes form no fleet; load and faults are the same. Without `watched` the checker
+    Without `view` the softswitches form no fleet; load and faults are the same. Without `watched` the checker
     queries neither views nor budgets, so that the cost of the views alone can be measured. `heavy` is the
     fraction of all calls that one softswitch gets on top of its equal part; every `moves_s` seconds another
     softswitch gets it (0: never). `operator_tables` is added to the operator files, `fleet_keys` to the fleet
@@ -196,12 +197,12 @@
         self.peer_addresses = [(host, PEER_PORT) for host in hosts]
         self.mgmt_addresses = [(host, MGMT_PORT) for host in hosts]
         self.relays: dict[tuple[int, int], Relay] = {}
-        self.views: dict[int, Any] = {}
-        self.queried_at: dict[int, float] = {}
-        # run, stopped (paused by a signal) or ended
+        self.views: dict[int, Any] = {}  # latest view, by process
+        self.queried_at: dict[int, float] = {}  # by process: time of its query in flight
+        # By process: "run", "stopped" (paused by SIGSTOP) or "ended".
         self.expected_state: dict[int, str] = dict.fromkeys(range(softswitches), "run")
-        self.ready: set[int] = set()
-        self.false_gone: dict[str, None] = {}
+        self.ready: set[int] = set()  # running processes; a restarted one once it has reported a view
+        self.false_gone: dict[str, None] = {}  # set of reports, in order
         self.view_queries = self.failed_queries = 0
         self.start_s: float | None = None
         self.log_threads: list[threading.Thread] = []
@@ -228,18 +229,18 @@
                     self.rng.getrandbits(32),
                 )
                 self.relays[n, m] = relay
-                dial[self._at(m)] = "{}:{}".format(*relay.listen())
+                dial[self._peer_address(m)] = "{}:{}".format(*relay.listen())
         table = {
             "name": "drill",
-            "address": self._at(n),
+            "address": self._peer_address(n),
             "site": self.sites[self.names[n]],
-            "seeds": [self._at(m) for m in range(min(3, len(self.names)))],
+            "seeds": [self._peer_address(m) for m in range(min(3, len(self.names)))],
             "dial": dial,
             "folder": f"state-{n}",
         }
         text = f"fleet = {orjson.dumps(table).decode()[:-1]}{self.fleet_keys}}}\n{self.operator_tables}"
         if self.budgets:
-            addresses = [self._at(m) for m in range(len(self.names))]
+            addresses = [self._peer_address(m) for m in range(len(self.names))]
             allocation = {
                 "members": addresses,
                 "voters": addresses[: min(5, len(addresses))],
@@ -249,7 +250,7 @@
             text += f"allocation = {orjson.dumps(allocation).decode()}\n"
         return text
 
-    def _at(self, n: int) -> str:
+    def _peer_address(self, n: int) -> str:
         return "{}:{}".format(*self.peer_addresses[n])
 
     def start_process(self, n: int) -> subprocess.Popen[bytes]:
@@ -290,7 +291,7 @@
         return self.expected_state[n] != "ended"
 
     def callers_for(self, nth: int) -> Callers | None:
-        """The callers of a running softswitch; with `heavy`, one softswitch gets more calls."""
+        """The callers that place this call, at a running softswitch; with `heavy`, one gets more calls."""
         running = [
             c
             for n, c in enumerate(self.callers)
@@ -400,7 +401,7 @@
         self.links.mark_disturbed(self.now() * 1000, (self.names[n],))
 
     def _send_flood(self, fault: Fault, members: list[int]) -> None:
-        """Sends random datagrams to the members from a socket that is no member's."""
+        """Sends random datagrams to the members from a socket that belongs to no member."""
         flood_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         flood_socket.setblocking(False)
         end = self.now() + fault.for_s if fault.for_s else 1e9
@@ -438,7 +439,7 @@
                 self.view_queries += 1
                 factory = Query("GET /v1/fleet", if_ok(partial(self._view_received, n)))
                 self.reactor.connectTCP(*self.mgmt_addresses[n], factory, timeout=QUERY_TIMEOUT)
-            elif n in self.queried_at and self.now() - self.queried_at[n] > 5.0:
+            elif n in self.queried_at and self.now() - self.queried_at[n] > 5.0:  # no reply: query again
                 del self.queried_at[n]
         self.reactor.callLater(VIEW_INTERVAL, self._query_views)
 
@@ -489,17 +490,17 @@
                 continue
             report = f"{self.names[n]} of {member['name']}, incarnation {member['incarnation']}"
             same = ("name", "state", "incarnation")
-            known = previous is not None and any(
+            already_reported = previous is not None and any(
                 all(m[key] == member[key] for key in same) for m in previous["members"]
             )
-            # A late report about a process that really has ended is not false.
-            own = self.views.get(self.names.index(member["name"]), {"members": ()})
-            runs = any(
+            # A late report about a process that really has ended is not false. `boot` identifies a process.
+            own_view = self.views.get(self.names.index(member["name"]), {"members": ()})
+            is_running = any(
                 m["name"] == member["name"] and m["boot"] == member["boot"] and m["state"] == "alive"
-                for m in own["members"]
+                for m in own_view["members"]
             )
             exempt = self.links.is_exempt(self.now() * 1000, self.names[n], member["name"])
-            if runs and not known and not exempt:
+            if is_running and not already_reported and not exempt:
                 self.false_gone.setdefault(report)
 
     def views_agree(self) -> bool:
--- a/softswitch/standin/faults/fleet_simulation.py
+++ b/softswitch/standin/faults/fleet_simulation.py
@@ -36,16 +36,16 @@
     site: str
     address: str
     member: Member | None = None
-    paused_until: float = 0.0
+    paused_until: float = 0.0  # ms
     up: bool = False
     starved: bool = False
-    boots: int = 0
-    snapshot: tuple[int, list[str]] | None = None  # own incarnation, addresses of others
+    boots: int = 0  # starts
+    snapshot: tuple[int, list[str]] | None = None  # its own incarnation, addresses of other members
     inbox: list[tuple[Any, ...]] = field(default_factory=list)
-    wakes_at: float = 0.0
+    wakes_at: float = 0.0  # when a starved process handles its inbox next, ms
     bytes_out: int = 0
     messages: int = 0
-    gone_declared: int = 0  # times that it declared a member gone itself
+    gone_declared: int = 0  # how often it declared a member gone itself, at the last check
     incarnation: int = 0  # its own incarnation at the last check
     # by member: incarnation and state that it reported last
     reported: dict[str, tuple[int, int]] = field(default_factory=dict)
@@ -59,11 +59,11 @@
     seconds: float
     seed: int
     settled: bool
-    # For the start of the run and each end of a fault: time from then until all views were equal and correct.
+    # Time from the start of the run, and from the end of each fault, until all views were equal and correct.
     settle_s: list[float]
     detect_s: list[float]  # by `kill` fault: time until all members had detected it
-    false_gone: int
-    false_suspect: int
+    false_gone: int  # incarnations declared gone while they ran and without an exempting fault
+    false_suspect: int  # the same for suspected ones
     planned_gone: int  # announced stops of members that were declared gone nevertheless
     bytes_s: float  # sent, per second and member
     messages_s: float
@@ -108,10 +108,10 @@
         self.links = Links(self.sites, self.rng)
         self.links.unavailable |= set(self.nodes)
         self.faults = sorted(faults, key=lambda f: f.at_s)
-        self.false_gone: dict[tuple[str, int], float] = {}
-        self.false_suspect: set[tuple[str, int]] = set()
+        self.false_gone: dict[tuple[str, int], float] = {}  # (key, incarnation) -> time
+        self.false_suspect: set[tuple[str, int]] = set()  # (key, incarnation)
         self.announced_stops: set[int] = set()  # boot ids that announced their stop without an active fault
-        self.planned_gone: set[int] = set()  # those of them that were declared gone nevertheless
+        self.planned_gone: set[int] = set()  # boot ids of these that were declared gone nevertheless
         # Process starts (key, incarnation, boot) that were declared gone while they ran.
         self.gone_while_running: set[tuple[str, int, int]] = set()
         self.ended: set[tuple[str, int, int]] = set()  # process starts that some member reported as ended
@@ -168,10 +168,10 @@
 
     def _end_process(self, node: Node) -> None:
         if node.member is not None:
-            known = [
+            addresses = [
                 r.address for r in node.member.known_records() if r.state not in ENDED and r.name != node.name
             ]
-            node.snapshot = (node.member.me.incarnation, known[:256])
+            node.snapshot = (node.member.me.incarnation, addresses[:256])
         node.up, node.member, node.inbox = False, None, []
         self.links.unavailable.add(node.name)
         self.links.mark_disturbed(self.now, (node.name,))
@@ -198,11 +198,11 @@
             handler(node, *args)
 
     def _deliver(self, node: Node, handler: Callable[..., None], *args: Any) -> None:
-        """Delivers something to a process; it waits in the inbox while the process is paused or starved."""
+        """Passes a message to a handler of a process, or queues it while the process is paused or starved."""
         if not node.up:
             return
         if node.paused_until > self.now:
-            if len(node.inbox) < 500:  # messages in the socket's buffer
+            if len(node.inbox) < 500:  # messages that fit into the socket's buffer
                 node.inbox.append((handler, *args))
             return
         if node.starved and self.now < node.wakes_at:
@@ -325,33 +325,33 @@
 
     def _check_change(self, node: Node, change: MemberChanged) -> None:
         record = change.record
-        about = self.by_address.get(record.address)
-        if about is None:
+        subject = self.by_address.get(record.address)  # the process that the record describes
+        if subject is None:
             return
         # A late report about a process that really has ended is not false.
-        runs = about.member is not None and about.member.me.boot == record.boot
+        is_running = subject.member is not None and subject.member.me.boot == record.boot
         if record.state in ENDED:
             self.ended.add((record.key, record.incarnation, record.boot))
-        if record.state is State.GONE and runs:
+        if record.state is State.GONE and is_running:
             # Only the first report is checked. Other members repeat it, starved ones possibly much later.
             report = (record.key, record.incarnation, record.boot)
             if report not in self.gone_while_running:
                 self.gone_while_running.add(report)
-                if not self.links.is_exempt(self.now, node.name, about.name):
+                if not self.links.is_exempt(self.now, node.name, subject.name):
                     self.false_gone.setdefault((record.key, record.incarnation), self.now)
         if (
             record.state is State.SUSPECT
-            and runs
-            and not self.links.is_exempt(self.now, node.name, about.name)
+            and is_running
+            and not self.links.is_exempt(self.now, node.name, subject.name)
         ):
             self.false_suspect.add((record.key, record.incarnation))
         member = node.member
         assert member is not None
-        if member.counts["gone"] > node.gone_declared:  # declared by itself, not received
+        if member.counts["gone"] > node.gone_declared:  # this member declared it; the report was not received
             node.gone_declared = member.counts["gone"]
             present = {r.name for r in member.known_records() if r.state in (State.ALIVE, State.JOINING)}
-            known = present | {r.name for r in member.known_records() if r.state is not State.LEFT}
-            if 2 * len(present) <= len(known):
+            not_left = present | {r.name for r in member.known_records() if r.state is not State.LEFT}
+            if 2 * len(present) <= len(not_left):
                 raise InvariantViolationError(
                     f"{node.name} at {self.now:.0f} ms: declared {record.key} gone without seeing a majority"
                 )
@@ -378,8 +378,8 @@
             raise InvariantViolationError(
                 f"{node.name} at {self.now:.0f} ms: its table has another record of itself than its own"
             )
-        start = (member.me.key, member.me.incarnation, member.me.boot)
-        if member.me.state in (State.ALIVE, State.JOINING) and start in self.ended and not member.leaving:
+        own_start = (member.me.key, member.me.incarnation, member.me.boot)
+        if member.me.state in (State.ALIVE, State.JOINING) and own_start in self.ended and not member.leaving:
             # A member must take a new incarnation once it has received a report of its own end.
             ended = member.table.records[member.me.key].state in ENDED
             if ended:
@@ -414,6 +414,7 @@
 ) -> Outcome:
     """Runs one simulation and returns its results."""
     simulation = FleetSimulation(members, sites, seed, faults, **more)
+    # Settling is measured from the start of the run and from the end of each fault.
     ends = sorted({f.ends_s if f.ends_s is not None else f.at_s for f in faults} | {0.0})
     settled_after: dict[float, float] = {}
     detected_after: dict[float, float] = {}
--- a/softswitch/standin/faults/links.py
+++ b/softswitch/standin/faults/links.py
@@ -12,7 +12,7 @@
 
 from softswitch.standin.faults.schedule import LINK_FAULTS, Fault, select_members
 
-EXEMPT_FOR = 15_000.0  # ms after a fault in which its processes may still be declared gone
+EXEMPT_FOR = 15_000.0  # ms after a fault in which the affected processes may still be declared gone
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,12 +23,12 @@
     loss_ratio: float = 0.0
     duplicated: bool = False
     corrupt: bool = False
-    kb_s: float = 0.0  # 0: no limit
+    kb_s: float = 0.0  # max kilobytes per second; 0: no limit
 
 
 @dataclass(frozen=True, slots=True)
 class ActiveFault:
-    """An active fault of links."""
+    """An active fault of the links between the members `who` and `other`."""
 
     fault: Fault
     who: frozenset[str]
@@ -46,7 +46,7 @@
         self.unavailable: set[str] = set()  # not started, ended or paused
 
     def begin(self, now: float, fault: Fault) -> ActiveFault | None:
-        """Applies a fault that is due. If it returns an active fault, the caller passes it to `end` later."""
+        """Applies a fault. Returns a fault of links as an active fault, to be passed to `end` later."""
         who = select_members(fault.who, self.sites)
         if fault.what not in LINK_FAULTS:
             self.mark_disturbed(now, who)
@@ -99,10 +99,10 @@
         return LinkConditions(delay, loss_ratio, duplicated, corrupt, kb_s)
 
     def is_exempt(self, now: float, observer: str, about: str) -> bool:
-        """Whether an observer that declares the other process gone is exempt from the check.
+        """Whether a report of `observer` that the process `about` is gone is exempt from the check.
 
-        It is if one of them is unavailable, if the other ended or was paused lately, or if a cut affects the
-        other or lately affected one of them. An earlier pause of the observer does not exempt it.
+        It does if one of them is unavailable, if `about` was disturbed lately, or if a cut affects `about` or
+        began or ended lately at one of them. An earlier pause of `observer` does not exempt its reports.
         """
         if about in self.unavailable or observer in self.unavailable:
             return True
--- a/softswitch/standin/faults/relay.py
+++ b/softswitch/standin/faults/relay.py
@@ -1,7 +1,7 @@
 """Relays between real processes: one for each ordered pair, for datagrams and for connections.
 
-Each process dials the relay of (itself, the other process) instead of the other process. The relay applies
-the active faults to each datagram and to each chunk of a connection.
+To reach process B, process A dials the relay of the pair (A, B) instead of B. The relay applies the active
+faults to each datagram and to each chunk of a connection.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from softswitch.standin.faults.links import LinkConditions, Links
 
 CHECK_INTERVAL = 0.1  # s between two checks for connections over cut links
-RETRANSMISSION_DELAY = 200.0  # ms that the loss of its packet delays a chunk of a connection
+RETRANSMISSION_DELAY = 200.0  # ms by which a lost packet delays a chunk of a connection
 
 
 class Datagrams(DatagramProtocol):
-    """Datagrams from one process to another."""
+    """Relays datagrams from one process to another."""
 
     def __init__(self, relay: Relay) -> None:
         self.relay = relay
@@ -52,7 +52,7 @@
         self.relay, self.from_source = relay, from_source
         self.peer: RelayedConnection | None = None
         self.pending: list[bytes] = []  # received before the other side was connected
-        self.last_due = 0.0  # when the last chunk is forwarded
+        self.last_due = 0.0  # when the last chunk is forwarded, s
 
     def connectionMade(self) -> None:
         """Called by Twisted: a connection from the source is continued to the target."""
@@ -149,8 +149,8 @@
         self.reactor, self.links, self.src, self.dst, self.target = reactor, links, src, dst, target
         self.rng = Random(seed)
         self.connections: dict[RelayedConnection, None] = {}
-        self.received = self.dropped = 0
-        self.free_at = 0.0  # when a link with a limited rate has sent everything in its queue
+        self.received = self.dropped = 0  # datagrams
+        self.free_at = 0.0  # when a link with a limited rate has sent everything in its queue, ms
 
     def listen(self) -> tuple[str, int]:
         """Listens for datagrams and connections on one port and returns the address."""
@@ -167,11 +167,11 @@
         raise OSError("no port is free for both datagrams and connections")
 
     def queueing_delay(self, link: LinkConditions, size: int) -> float:
-        """Queues a message on a link with a limited rate and returns its delay in ms."""
+        """Queues a message of `size` bytes on a link with a limited rate and returns its delay in ms."""
         if not link.kb_s:
             return 0.0
         now = self.reactor.seconds() * 1000.0
-        self.free_at = max(self.free_at, now) + size / link.kb_s
+        self.free_at = max(self.free_at, now) + size / link.kb_s  # bytes / (kB/s) = ms
         return float(self.free_at - now)
 
     def abort(self, connection: RelayedConnection) -> None:
--- a/softswitch/standin/faults/schedule.py
+++ b/softswitch/standin/faults/schedule.py
@@ -20,13 +20,13 @@
 DISK_FAULTS = ("disk full", "disk read-only", "disk slow")
 What = Literal[
     "cut",
-    "cut one way",
-    "slow",
-    "lose",
-    "double",
+    "cut one way",  # from `who` to `other`
+    "slow",  # delay messages
+    "lose",  # drop messages
+    "double",  # duplicate messages
     "reorder",
     "spoil",  # corrupt messages
-    "limit",
+    "limit",  # limit the rate
     "kill",  # the process is started again after `for_s`, if given
     "stop",  # the process is paused
     "restart",  # planned stop; the process is started again after `for_s`
@@ -34,22 +34,22 @@
     "disk full",
     "disk read-only",
     "disk slow",
-    "flood",
+    "flood",  # random datagrams to the process
 ]
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One fault of a schedule. `__post_init__` checks the fields that its type requires."""
+    """One fault of a schedule. `__post_init__` checks the fields that its type, `what`, requires."""
 
-    at_s: Seconds
+    at_s: Seconds  # start, since the start of the run
     what: What
     who: Annotated[tuple[str, ...], Meta(min_length=1, max_length=1_000)]
     other: tuple[str, ...] = ("rest",)  # the far ends of the links
-    for_s: Seconds = 0.0  # 0: until the end of the run
+    for_s: Seconds = 0.0  # duration; 0: until the end of the run
     share: Annotated[float, Meta(ge=0, le=1)] = 0.0  # lose, double, reorder, spoil: fraction of messages
     ms: Annotated[float, Meta(ge=0, le=60_000)] = 0.0  # slow: delay; disk slow: delay of each write
-    jitter_ms: Annotated[float, Meta(ge=0, le=60_000)] = 0.0
+    jitter_ms: Annotated[float, Meta(ge=0, le=60_000)] = 0.0  # slow: max additional random delay
     kb_s: Annotated[float, Meta(ge=0)] = 0.0  # limit: kilobytes per second on each link
     per_s: Annotated[float, Meta(ge=0, le=100_000)] = 0.0  # flood: datagrams per second
 
@@ -114,7 +114,7 @@
 
 
 def parse_schedule(data: bytes, name: str, sites: dict[str, str]) -> list[Fault]:
-    """Parses a schedule and sorts it by time; `name` stands at the start of error messages."""
+    """Parses a schedule and sorts it by time; `name`, such as the path, starts the error messages."""
     try:
         faults = msgspec.json.decode(data, type=list[Fault])
     except (msgspec.DecodeError, msgspec.ValidationError, ValueError) as e:
--- a/softswitch/standin/fleet.py
+++ b/softswitch/standin/fleet.py
@@ -61,15 +61,15 @@
     softswitches: int = 1
     seed: int = 1
     max_attempts: int = 6
-    # Of the callers, see `Callers`.
+    # The next five apply to the callers; see `Callers`.
     answer_timeout: float = 3.0
     tries: int = 1
     redial_probability: float = 0.0
     redial_delay: float = 1.0
     honour_retry_after: bool = False
-    record_interval: float = 0.0  # 0: no traffic record
-    record_slot: float = 0.5
-    env: dict[str, str] = field(default_factory=dict)
+    record_interval: float = 0.0  # of the traffic records; 0: none
+    record_slot: float = 0.5  # time slot in an interval of the record
+    env: dict[str, str] = field(default_factory=dict)  # added to the environment of the softswitches
 
     def settings(self) -> dict[str, Any]:
         """Returns the softswitches' settings in the form of the platform's configuration."""
@@ -135,11 +135,12 @@
         self.callers: list[Callers] = []
         self.programs: list[subprocess.Popen[bytes]] = []
         self.logs: list[Path] = []
-        self.failure, self.ending = "", 0.0  # ending: when the shutdown began
+        self.failure, self.ending = "", 0.0  # why the run failed; when the shutdown began, 0 before
         self.started_at = 0.0
         self.arrivals = merged(list(day.streams), day.seed, day.warm_up + day.seconds)
         self.next_arrival = 0
         self.max_lateness = 0.0  # s between a call's scheduled and actual time
+        # Values of each engine at the end of the warm-up, which results subtract.
         self.circuit_seconds_base: list[float] = []
         self.counts_base: list[dict[str, int]] = []
         self.marks: list[float] = []  # start and end of the counted time
@@ -205,7 +206,7 @@
         return {}
 
     def operator_text(self, n: int) -> str:
-        """Returns the text of its operator file; empty if it has none."""
+        """Returns the text of this softswitch's operator file; empty if it has none."""
         if not self.day.record_interval:
             return ""
         return (
@@ -277,7 +278,7 @@
             callers.tallies = {}
         now = self.reactor.seconds()
         for engine in self.engines:
-            engine._change_used(0)
+            engine._change_used(0)  # updates circuit_seconds to the present
             self.circuit_seconds_base.append(engine.circuit_seconds)
             self.counts_base.append(dict(engine.count))
         self.marks = [now]
@@ -314,7 +315,7 @@
             self._stop()
 
     def _stop(self) -> None:
-        """Terminates the softswitches, and keeps the stand-ins running until they have ended."""
+        """Terminates the softswitches. The stand-ins run until all softswitches have ended."""
         if not self.ending:
             self.ending = self.reactor.seconds()
             for program in self.programs:
--- a/softswitch/standin/soak/plan.py
+++ b/softswitch/standin/soak/plan.py
@@ -36,7 +36,7 @@
 
     HANG = "hangs"
     RESET = "resets its connections"
-    DRAIN = "drains, goes and comes back cold"  # drains, stops and restarts as a new engine
+    DRAIN = "drains, goes and comes back cold"  # drains, stops and restarts
 
 
 class AttemptFault(StrEnum):
--- a/softswitch/standin/traffic.py
+++ b/softswitch/standin/traffic.py
@@ -16,7 +16,7 @@
     rate: float  # mean, over the on and off phases
     dest: int = -1  # preferred cell; -1: none
     number: str = "77"
-    width: int = 1
+    width: int = 1  # circuits per call
     on: float = inf  # mean length of the on phases; inf: always on
     off: float = 0.0  # mean length of the off phases
     profile: tuple[tuple[float, float], ...] = field(default=())  # (start time, factor on the rate)
@@ -68,6 +68,6 @@
     until: float,
     generate: Callable[[StreamSettings, int, float], Iterator[float]] = arrivals,
 ) -> list[tuple[float, StreamSettings]]:
-    """Returns the arrivals of all streams in order of time. Each stream has its own seed."""
+    """Returns the arrivals of all streams in order of time, with seeds derived from `seed`."""
     merged_arrivals = [(at, n) for n, s in enumerate(streams) for at in generate(s, seed * 1009 + n, until)]
     return [(at, streams[n]) for at, n in sorted(merged_arrivals)]
