--- a/softswitch/standin/soak/checker.py
+++ b/softswitch/standin/soak/checker.py
@@ -209,7 +209,7 @@
 
     def caller_abandoned(self, at: float, call: str) -> None:
         """Records that the caller abandoned the setup before its deadline: no answer is expected."""
-        record = self.note(at, call, "caller left")
+        record = self.note(at, call, "abandoned by its caller")
         if record is not None and record.answered_at is None and record.abandoned_at is None:
             self.checked[Rule.LEFT] += 1
             self.abandoned += 1
@@ -221,7 +221,7 @@
         `killed`: it closed because its softswitch process received SIGKILL.
         """
         for call in calls:
-            record = self.note(at, call, "connection over")
+            record = self.note(at, call, "caller's connection closed")
             if record is None or record.answered_at is not None or record.abandoned_at is not None:
                 continue
             record.abandoned_at = at
@@ -238,7 +238,7 @@
 
     def caller_notified(self, at: float, call: str) -> None:
         """Records that a caller received the release of its call."""
-        record = self.note(at, call, "caller told of the release")
+        record = self.note(at, call, "release received by its caller")
         if record is not None and record.released_to_caller is None:
             record.released_to_caller = at
 
@@ -353,7 +353,7 @@
 
     def engine_notified(self, at: float, call: str) -> None:
         """Records that an engine received the release of a call."""
-        record = self.note(at, call, "engine told of the release")
+        record = self.note(at, call, "release received by its engine")
         if record is not None:
             record.ended_at_engine = True
 
