--- a/softswitch/standin/faults/budget_simulation.py
+++ b/softswitch/standin/faults/budget_simulation.py
@@ -112,8 +112,8 @@
 
     `late` is the fraction of messages that are delayed by up to MAX_LATENESS ms more, `lose` the fraction
     that is lost. `plans` contains new plans with time and member, `join_at` the start times of members that
-    start later than the others. If not `strict`, exceeded totals are only counted. `on_sample` is called
-    every 100 ms.
+    start later than the others. `make` creates a lease client; `demand` defaults to 5 calls per s. If not
+    `strict`, exceeded totals are only counted. `on_sample` is called every 100 ms.
     """
 
     def __init__(
--- a/softswitch/standin/faults/fleet_simulation.py
+++ b/softswitch/standin/faults/fleet_simulation.py
@@ -76,7 +76,7 @@
 
     `starved` is the fraction of members that are short of processor time, `lose` the fraction of datagrams
     that are lost throughout the run, `empty_disk_ratio` the fraction of restarts that find no snapshot, and
-    `delay` the range of the links' delay in ms.
+    `delay` the range of the links' delay in ms. `make` creates a member.
     """
 
     def __init__(
