--- a/benchmarks/replay_sockets.py
+++ b/benchmarks/replay_sockets.py
@@ -121,7 +121,7 @@
         }
     elif name == "surge":
         segments, hold = estimates[0, "x"][1].segments, estimates[0, "x"][1].hold.value
-        calls = [s.rate * (s.to - s.since) for s in segments]
+        calls = [s.rate * (s.end - s.start) for s in segments]
         predicted = sum(
             c * loss.erlang_b(circuits[0], s.rate * hold) for c, s in zip(calls, segments, strict=True)
         ) / sum(calls)
