--- a/softswitch/measure/record.py
+++ b/softswitch/measure/record.py
@@ -2,7 +2,8 @@
 
 The switch reports each call two or three times (`attempt_received`, `attempt_settled`, `call_ended`); all
 other work is done once an interval. Times are milliseconds: on the clock of the timer wheel in method calls,
-Unix milliseconds in the entries.
+Unix milliseconds in the entries. A cell is the number that the endpoint list gives to an engine; a caller
+names the cell of its first choice.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 MAX_MS, DIGITS = 3_600_000, 2  # histograms: 1 ms to an hour, two significant digits
 
 OUTCOMES = (
-    "carried",
-    "late",
-    "blocked",
-    "processor_full",
-    "refused_before",
-    "refused_other",
-    "failed",
-    "given_up",
+    "carried",  # established within the latency objective of the class
+    "late",  # established after it
+    "blocked",  # rejected; at least one attempt found no free circuit
+    "processor_full",  # rejected; an attempt found an engine's processor overloaded, none was blocked
+    "refused_before",  # rejected before any attempt was started
+    "refused_other",  # rejected for another reason after an attempt
+    "failed",  # failed after an attempt that may have run
+    "given_up",  # abandoned by the caller
 )
 
 
@@ -50,7 +51,7 @@
 
     counts: dict[str, int] = field(default_factory=lambda: dict.fromkeys(OUTCOMES, 0))
     redials_carried: int = 0
-    lost_ms: float = 0.0  # total time that failed call setups waited for their answer
+    lost_ms: float = 0.0  # total time from setup to final response of the setups that did not succeed
     delay: HdrHistogram = field(default_factory=histogram)  # ms from setup to establishment
 
 
@@ -83,6 +84,7 @@
 class TrafficRecord:
     """Counts the traffic of the current interval.
 
+    interval, slot: lengths in ms; an interval has a whole number of slots.
     save: receives each finished interval as a dict for the file.
     clock: converts a time of the timer wheel to Unix milliseconds. Intervals start at integer multiples of
     their length on that clock, so that the intervals of several softswitches coincide.
@@ -202,6 +204,13 @@
         self.ends_at += (missed + 1) * self.interval
 
     def _to_dict(self, end: float) -> dict[str, Any]:
+        """Returns the entry of the interval, which ends at `end`.
+
+        The names are those of the file format. `begin` is the start of the interval on the Unix clock; `from`
+        is later if the record was started within it. `took` is the cell that accepted the call, `up` the
+        number of established calls at the end, `held` the durations of ended calls (`held_ms` their sum,
+        `held_s2` the sum of their squares in s^2).
+        """
         return {
             "from": self.clock(self.started_at),
             "to": self.clock(end),
--- a/softswitch/measure/recordfile.py
+++ b/softswitch/measure/recordfile.py
@@ -5,9 +5,9 @@
     file  = "WHTR" version:2 frame*          big-endian
     frame = length:4 xxh64:8 payload         the checksum is of the payload, seeded with the frame's position
 
-A payload is a JSON object: {"kind":"head",...} when a softswitch starts to write, then one entry per
-interval. The checksum of a frame at another position does not match, so that a block that was moved or
-duplicated is detected.
+A payload is a JSON object. The first one that a process writes is a head, {"kind":"head",...}; one entry per
+interval follows. The checksum of a frame at another position does not match, so that a block that was moved
+or duplicated is detected.
 """
 
 from __future__ import annotations
@@ -39,8 +39,8 @@
     """
 
     path: str
-    heads: list[dict[str, Any]] = field(default_factory=list)
-    entries: list[dict[str, Any]] = field(default_factory=list)
+    heads: list[dict[str, Any]] = field(default_factory=list)  # one for each process that wrote to the file
+    entries: list[dict[str, Any]] = field(default_factory=list)  # one for each interval
     stop_reason: str = ""
     valid_bytes: int = 0
 
@@ -69,7 +69,7 @@
                 f"{path}: not a traffic record; name a file that a softswitch wrote (`record` in the "
                 "operator file)"
             )
-        contents.stop_reason = f"cut at byte {len(data)}, within its head: nothing is left"
+        contents.stop_reason = f"truncated at byte {len(data)}, within the file header: nothing was read"
         return contents
     magic, version = FILE_HEADER.unpack_from(data)
     if magic != MAGIC:
@@ -80,7 +80,7 @@
     if version != VERSION:
         raise RecordFileError(
             f"{path}: written by version {version} of the format, and this program reads {VERSION}; "
-            "read it with the willowhitch that wrote it"
+            "read it with the release of willowhitch that wrote it"
         )
     contents.valid_bytes = FILE_HEADER.size
     for end, payload in frames(data, FILE_HEADER.size):
@@ -92,8 +92,8 @@
         contents.valid_bytes = end
     if contents.valid_bytes < len(data):
         contents.stop_reason = (
-            f"{len(data) - contents.valid_bytes} bytes after byte {contents.valid_bytes} are cut or spoilt "
-            f"and were left out; {len(contents.entries)} whole intervals were read"
+            f"{len(data) - contents.valid_bytes} bytes after byte {contents.valid_bytes} are truncated or "
+            f"corrupt and were ignored; {len(contents.entries)} complete intervals were read"
         )
     return contents
 
@@ -108,7 +108,8 @@
 
     It writes and syncs, and must not be called in the thread of the event loop. An incomplete end, as left by
     a killed process, is truncated to the last complete frame first. If a write fails, it raises OSError, the
-    entry is lost, and the next write starts after the last complete frame.
+    entry is lost, and the next write starts after the last complete frame. A file that would exceed
+    `max_bytes` is renamed to FILE.1 and replaces an earlier FILE.1.
     """
 
     def __init__(self, path: str | Path, head: dict[str, Any], max_bytes: int) -> None:
--- a/softswitch/measure/recording.py
+++ b/softswitch/measure/recording.py
@@ -1,4 +1,7 @@
-"""Connects a traffic record to a running switch and its file. Loaded only if the operator file sets it."""
+"""Connects a traffic record to a running switch and its file.
+
+Loaded only if the operator file has a `record` table.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 from softswitch.measure.record import TrafficRecord
 from softswitch.measure.recordfile import RecordFileError, Writer, read
 
-MAX_PENDING_INTERVALS = 8  # waiting to be written; further intervals are dropped if the disk is too slow
+MAX_PENDING_INTERVALS = 8  # finished intervals that wait for the disk; further ones are dropped
 
 
 def rejection_outcome(call: Call) -> str:
@@ -48,12 +51,14 @@
         self.switch, self.writer, self.in_thread, self.objectives = switch, writer, in_thread, objectives
         self.table: Any = None
         self.pending: deque[dict[str, Any]] = deque()
-        # Used by the writing threads only, never by the event loop.
+        # `writing` admits one writing thread at a time; `failing` tells that the last write failed. Both are
+        # used by the writing threads only, never by the event loop.
         self.writing, self.failing = Lock(), False
         self.record = TrafficRecord(interval, slot, clock, self._save, switch.wheel.now)
         self._tick()
 
     def _tick(self) -> None:
+        """Ends the interval if it is over, and schedules the next call at its end."""
         now = self.switch.wheel.now
         self.record.roll_over(now)
         self.switch.wheel.call_at(max(now + 1.0, self.record.ends_at), self._tick)
--- a/softswitch/measure/streams.py
+++ b/softswitch/measure/streams.py
@@ -23,21 +23,21 @@
     carried: int = 0
     lost_attempts: int = 0  # attempts that failed for any reason
     blocked: int = 0  # lost attempts that found no circuit
-    lost_seconds: float = 0.0  # total time that lost attempts waited for their answer
-    call_seconds: float = 0.0
-    ended: int = 0
-    sum_squared_hold: float = 0.0
+    lost_seconds: float = 0.0  # total time from setup to final response of the lost attempts
+    call_seconds: float = 0.0  # time integral of the number of established calls of the class
+    ended: int = 0  # calls of the class that ended
+    sum_squared_hold: float = 0.0  # sum of their squared durations, in seconds squared
 
 
 @dataclass(slots=True)
 class MeasuredTraffic:
     """All streams over the same slots, with notes about omitted data."""
 
-    slot: float
-    seconds: float
+    slot: float  # seconds
+    seconds: float  # total length of all slots
     streams: list[Stream]
     notes: list[str]
-    erlangs: dict[int, list[float]]  # carried by each cell, mean by interval
+    erlangs: dict[int, list[float]]  # carried load by cell: the mean of each interval
     peaks: dict[int, int]  # max established calls of each cell
 
 
@@ -74,7 +74,7 @@
     interval, slot, by_start = intervals(contents)
     slots, notes = round(interval / slot), [f"{c.path}: {c.stop_reason}" for c in contents if c.stop_reason]
     streams: dict[tuple[int, str], Stream] = {}
-    hold_sums: dict[str, list[float]] = {}
+    hold_sums: dict[str, list[float]] = {}  # by class: call seconds, ended calls, sum of squared durations
     erlangs: dict[int, list[float]] = {}
     peaks: dict[int, int] = {}
     keys = {(a["dest"], a["class"]) for es in by_start.values() for e in es for a in e["arrivals"]}
@@ -85,6 +85,7 @@
             missing += round((start - starts[n - 1]) / interval) - 1
         entries = by_start[start]
         covered_from, covered_to = min(e["from"] for e in entries), max(e["to"] for e in entries)
+        # The slots from `low` to before `high` are covered completely; 1 ms is tolerated at both ends.
         low = 0 if covered_from - start < 1 else int(-(-(covered_from - start) // slot))
         high = min(slots, int((covered_to - start + 1) // slot))
         rows = {key: [0] * slots for key in keys}
--- a/softswitch/operator/load.py
+++ b/softswitch/operator/load.py
@@ -13,7 +13,8 @@
 
 MAX_BYTES = 256 << 10
 MAX_SECONDS, MAX_DEPTH = 2.0, 64
-# A table that is assigned at the top level. Names that start with `_` are private to the file.
+# A name that is assigned or called at the top level; assigned names are the tables. Names that start with
+# `_` are private to the file.
 NAME = re.compile(r"(?m)^([A-Za-z]\w*)\s*(?:=(?!=)|\()")
 POSITION = re.compile(r"--> [^\n]*?:(\d+)(?::(\d+))?")
 PATH = re.compile(r" - at `\$(?:\.([\w.]+))?`")
@@ -77,7 +78,10 @@
 
 
 def _line_of(text: str, words: list[str]) -> int:
-    """Returns the line of a key: the first line that names the field, from the line of its table on."""
+    """Returns the line of a key, given as its path: table, field, and so on.
+
+    This is the first line that names the last of them, searched from the line of the one before it.
+    """
     offset = 0
     for n, word in enumerate(w for w in words if w):
         pattern = rf"(?m)^{word}\s*=" if n == 0 else rf"[\"']{word}[\"']|\b{word}\s*="
--- a/softswitch/operator/tables.py
+++ b/softswitch/operator/tables.py
@@ -15,8 +15,8 @@
     """The traffic record (docs/trunks.md)."""
 
     file: Annotated[str, Meta(min_length=1)]  # relative to the directory of the operator file
-    interval_s: Annotated[float, Meta(ge=1, le=3600)] = 60.0  # time between two entries
-    slot_s: Annotated[float, Meta(ge=0.05, le=60)] = 1.0  # arrivals are counted by slot
+    interval_s: Annotated[float, Meta(ge=1, le=3600)] = 60.0  # time between two entries of the file
+    slot_s: Annotated[float, Meta(ge=0.05, le=60)] = 1.0  # an entry has the number of arrivals of each slot
     most_mb: Annotated[int, Meta(ge=1, le=4096)] = 64  # a file of this size is renamed to FILE.1
 
     def __post_init__(self) -> None:
@@ -26,7 +26,7 @@
 
 
 class Calls(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The histories of the last calls, to analyze a failed call (docs/operation.md)."""
+    """The histories of the most recent calls, to analyze a failed call (docs/operation.md)."""
 
     keep: Annotated[int, Meta(ge=1, le=100_000)] = 4_096  # number of calls; about 1.5 KB each
     # Relative to the directory of the operator file. One line per call is appended every `every_s` and at
@@ -55,14 +55,15 @@
 
     # Name of the fleet; members of other fleets are rejected.
     name: Annotated[str, Meta(min_length=1, max_length=64)]
-    address: Address  # at which other members reach this one, by datagrams and connections
+    address: Address  # of this member, for the datagrams and the connections of other members
     site: Annotated[str, Meta(max_length=64)] = ""
     member: Annotated[str, Meta(max_length=64)] = ""  # name of this member; default: from the configuration
     seeds: Annotated[tuple[Address, ...], Meta(max_length=64)] = ()  # members to contact first
     dial: dict[Address, Address] = {}  # member address -> address to use from here, if it differs
     period_ms: Annotated[float, Meta(ge=100, le=60_000)] = 500.0  # time between two probes
     answer_ms: Annotated[float, Meta(ge=20, le=20_000)] = 200.0  # timeout of a direct probe
-    folder: str = ""  # of the snapshot, relative to the directory of the operator file; empty: no snapshot
+    # Directory of the snapshot of known members, relative to that of the operator file; empty: no snapshot.
+    folder: str = ""
 
     def __post_init__(self) -> None:
         for member_address in (self.address, *self.seeds, *self.dial, *self.dial.values()):
@@ -78,16 +79,17 @@
 
 
 class Budget(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One budget of the complete fleet (docs/budgets.md)."""
+    """One budget: a limit that the members of the fleet keep together (docs/budgets.md)."""
 
     name: Annotated[str, Meta(min_length=1, max_length=32, pattern=r"^[0-9A-Za-z._\-]+$")]
+    # What is limited: first attempts of calls, retries, call setups that warming engines can take, probes.
     what: Literal["set-ups", "repeats", "cold", "probes"] = "set-ups"
-    # Total per second; for cold and probes a fraction, 1 at most.
+    # Total per second; for cold and probes a fraction, 1 at most, of what engines accept.
     whole: Annotated[float, Meta(gt=0, le=1e6)] = 1.0
     floor: Annotated[float, Meta(ge=0, le=1e6)] = 0.0  # reserved part for each of `allocation.members`
     over_s: Annotated[float, Meta(ge=0.2, le=60)] = 1.0  # window in which the total must not be exceeded
-    klass: Annotated[str, Meta(max_length=64)] = field(default="", name="class")
-    engine: Annotated[str, Meta(max_length=64)] = ""
+    klass: Annotated[str, Meta(max_length=64)] = field(default="", name="class")  # empty: all classes
+    engine: Annotated[str, Meta(max_length=64)] = ""  # empty: all engines
 
     def __post_init__(self) -> None:
         if self.what in ("cold", "probes"):
@@ -114,8 +116,10 @@
     voters: Annotated[tuple[Address, ...], Meta(min_length=1, max_length=9)]  # elect the allocator
     lease_s: Annotated[float, Meta(ge=1, le=120)] = 4.0  # term of the lease of an allocation
     promise_s: Annotated[float, Meta(ge=0.5, le=60)] = 3.0  # time that a voter is bound to one allocator
-    drift: Annotated[float, Meta(ge=0, le=0.1)] = 0.01  # max relative error of the rate of a clock
-    record: Annotated[int, Meta(ge=0, le=100_000)] = 0  # max spendings retained with their time, for checks
+    drift: Annotated[float, Meta(ge=0, le=0.1)] = 0.01  # max relative error of the rate of a member's clock
+    record: Annotated[int, Meta(ge=0, le=100_000)] = (
+        0  # max number of uses to retain with their time, for checks
+    )
 
     def __post_init__(self) -> None:
         if len(set(self.voters)) != len(self.voters) or len(set(self.members)) != len(self.members):
