--- a/softswitch/dimension/loss.py
+++ b/softswitch/dimension/loss.py
@@ -151,9 +151,10 @@
 
 
 def find_root(f: Callable[[float], float], low: float, step: float, max_x: float, what: str) -> float:
-    """Returns the root of a decreasing function that is positive at `low`, or `low` if it is not.
+    """Returns the root of a decreasing function, or `low` if the function is not positive there.
 
-    The root is bracketed by doubling and then found by Brent's method.
+    The root is bracketed by doubling, with the first interval of length `step`, and then found by Brent's
+    method. `what` names the result in the message of the OutOfRangeError for a root over `max_x`.
     """
     if f(low) <= 0:
         return low
@@ -261,8 +262,8 @@
     (Baccelli and Hebuterne 1981, M/M/N+D; Barrer 1957).
 
     It models a softswitch that queues blocked calls for as long as they can still meet their latency
-    objective. `held` is that wait in holding times; 0 gives Erlang B. Real circuits, 1 or more; the relative
-    error is about 1e-9. Raises OutOfRangeError.
+    objective. `held` is the length of that wait in holding times; 0 gives Erlang B. Real circuits, 1 or more;
+    the relative error is about 1e-9. Raises OutOfRangeError.
     """
     check_range("circuits", circuits, 1, MAX_LOAD)
     check_range("held", held, 0, 1e6)
@@ -284,7 +285,7 @@
     """Returns (time congestion, call congestion) of a group with finitely many sources (Engset 1918).
 
     each: erlangs offered by one idle source. Integer circuits and sources, up to 1e6. The call congestion is
-    the time congestion that a source finds among the others. The relative error is about 1e-12. Raises
+    the time congestion of the same group with one source less. The relative error is about 1e-12. Raises
     OutOfRangeError.
     """
     check_range("circuits", circuits, 0, 1e6)
@@ -326,8 +327,8 @@
 def lost_after_redials(blocking: float, tries: int, again: float) -> float:
     """Returns the fraction of calls that are never carried, with at most `tries` attempts each.
 
-    Each attempt is blocked independently with the same probability, and a blocked attempt is followed by
-    another with probability `again`. Raises OutOfRangeError.
+    Each attempt is blocked independently with the same probability, and a blocked attempt is followed by a
+    redial with probability `again`. Raises OutOfRangeError.
     """
     check_range("blocking", blocking, 0, 1)
     check_range("again", again, 0, 1)
@@ -344,8 +345,8 @@
 def surge_peak(erlangs: float, factor: float, lasted: float) -> float:
     """Returns the erlangs at the end of a surge to `factor` times the traffic.
 
-    `lasted` is the length of the surge in holding times. The mean load of an infinite group follows a step of
-    the call rate exponentially (Palm 1943). Raises OutOfRangeError.
+    `lasted` is the length of the surge in holding times. The result is the mean load of an infinite group,
+    which follows a step of the call rate exponentially (Palm 1943). Raises OutOfRangeError.
     """
     check_range("erlangs", erlangs, 0, MAX_LOAD)
     check_range("factor", factor, 0, 1e6)
--- a/softswitch/dimension/network.py
+++ b/softswitch/dimension/network.py
@@ -79,7 +79,10 @@
 
 
 def check(groups: Sequence[Group], streams: Sequence[Stream]) -> None:
-    """Raises OutOfRangeError for unknown or duplicate names, routes of three stages, and invalid values."""
+    """Raises OutOfRangeError for unknown or duplicate names, routes of three stages, and invalid values.
+
+    The messages name the fields as a plan file does: `most` is `max_modules`.
+    """
     by_name = {g.name: g for g in groups}
     if (
         not groups
--- a/softswitch/dimension/planner.py
+++ b/softswitch/dimension/planner.py
@@ -1,7 +1,8 @@
 """Finds the provably cheapest circuits for a network of trunk groups.
 
 The groups form clusters that share no traffic: a final group and the groups that overflow to it. Each cluster
-is solved separately. A 0/1 integer program (highspy) chooses modules. The loss formulas are not linear and
+is solved separately. A 0/1 integer program (highspy) finds the cheapest choice, the number of modules of each
+group. The loss formulas are not linear and
 enter as cuts (logic-based Benders decomposition, Hooker and Ottosson 2003):
 
 - A bound by the total allowed loss. The mean traffic that overflows to a final group of n circuits is at most
@@ -53,13 +54,13 @@
 class Plan:
     """The modules to buy, and the service that they give."""
 
-    modules: dict[str, int]
-    circuits: dict[str, int]
-    cost: float
+    modules: dict[str, int]  # by group
+    circuits: dict[str, int]  # by group, with those that are installed already
+    cost: float  # price of all modules
     service: Service
     programs_solved: int  # integer programs
     choices_evaluated: int  # choices whose loss was computed
-    monotone: bool  # no evaluated choice loses more with more circuits
+    monotone: bool  # no evaluated choice with more circuits loses more, so that the cost is proved minimal
 
 
 def clusters(groups: Sequence[Group], streams: Sequence[Stream]) -> list[tuple[list[Group], Group]]:
--- a/softswitch/dimension/report.py
+++ b/softswitch/dimension/report.py
@@ -1,4 +1,4 @@
-"""Required circuits over the interval of an estimate, and notes for the user."""
+"""Required circuits over the confidence interval of an estimate, and notes for the user."""
 
 from __future__ import annotations
 
@@ -66,7 +66,10 @@
 
 
 def notes(name: str, found: Estimate, complete: Estimate, precision: float) -> list[str]:
-    """Returns the remarks on the accuracy of an estimate that belong beside its figures."""
+    """Returns remarks on the accuracy of an estimate, to be shown with its figures.
+
+    `found` and `complete` are those of `estimate_busiest`; `name` names the stream.
+    """
     remarks = []
     if found.more_seconds > 0:
         remarks.append(
--- a/softswitch/dimension/simulate.py
+++ b/softswitch/dimension/simulate.py
@@ -32,8 +32,8 @@
     """Offered calls of one type: Poisson if `on` is inf, else an interrupted Poisson process (Kuczura)."""
 
     name: str
-    erlangs: float
-    route: tuple[str, ...]
+    erlangs: float  # mean number of calls that would be established without blocking and redials
+    route: tuple[str, ...]  # names of groups, in the order in which they are tried
     width: int = 1  # circuits of one call
     hold: float = 1.0  # mean holding time
     on: float = inf  # mean lengths of the on and off phases
--- a/softswitch/dimension/traffic.py
+++ b/softswitch/dimension/traffic.py
@@ -32,8 +32,8 @@
     call_seconds: float  # time integral of the number of established calls
     ended: int
     sum_squared_hold: float  # sum of the squared durations of the ended calls, in seconds squared
-    redials: int = 0
-    blocked: int = 0
+    redials: int = 0  # attempts that are not first attempts
+    blocked: int = 0  # attempts that found no circuit
 
     @property
     def seconds(self) -> float:
@@ -49,13 +49,15 @@
             or not np.all(np.isfinite(self.first_attempts))
             or np.any(self.first_attempts < 0)
         ):
-            raise OutOfRangeError("first tries are counts by slot, at least one slot and none under 0")
+            raise OutOfRangeError(
+                "first attempts must be counts by slot: at least one slot, and no count under 0"
+            )
 
 
 def merge_samples(samples: Sequence[Sample]) -> Sample:
     """Adds up the samples of one stream from several softswitches, slot by slot, over the shortest sample."""
     if not samples or len({s.slot for s in samples}) != 1:
-        raise OutOfRangeError("slot: samples of one stream are at least one, all with the same slot")
+        raise OutOfRangeError("slot: at least one sample is needed, and all must have the same slot length")
     n = min(len(s.first_attempts) for s in samples)
     return Sample(
         samples[0].slot,
@@ -94,11 +96,11 @@
     peakedness: Interval
     method: str  # how the interval was made: `random` or `batches`
     bootstrap: Interval | None  # of `erlangs`, by block bootstrap if the sample is long enough
-    seconds: float
+    seconds: float  # length of the sample
     first_attempts: int
     redial_share: float  # redials / all attempts
     segments: list[Segment]  # more than one if the traffic is not stationary
-    more_seconds: float  # further measurement that the requested precision needs; 0 if it is reached
+    more_seconds: float  # further measuring time that the requested precision needs; 0 if it is reached
 
     @property
     def steady(self) -> bool:
@@ -330,7 +332,7 @@
     first = int(sample.first_attempts.sum())
     if first < MIN_ENDED:
         raise OutOfRangeError(
-            f"first: only {first} first tries in {sample.seconds:g} s, and {MIN_ENDED} are needed "
+            f"first: only {first} first attempts in {sample.seconds:g} s, and {MIN_ENDED} are needed "
             "for a rate; measure longer"
         )
     rate = first / sample.seconds
