--- a/softswitch/cli/__init__.py
+++ b/softswitch/cli/__init__.py
@@ -20,10 +20,16 @@
     "drain": ("agents", "drain softswitches and stop them for good"),
     "restart": ("agents", "drain softswitches and start them again"),
     "reload": ("agents", "reload the configuration of softswitches without interrupting service"),
-    "config": ("config", "check and show an operator file"),
-    "demo": ("demo", "run a softswitch with stand-ins on loopback for a limited time"),
-    "fleet": ("fleet", "compare the fleet views of softswitches; run drills and simulations with faults"),
-    "soak": ("soak", "run real softswitches with stand-ins on generated plans and check all rules"),
+    "config": ("config", "check and show an operator file (Starlark: the optional features of a softswitch)"),
+    "demo": ("demo", "run a softswitch with simulated callers and engines on loopback for a limited time"),
+    "fleet": (
+        "fleet",
+        "compare the fleet views of softswitches; run drills (real processes) and simulations with faults",
+    ),
+    "soak": (
+        "soak",
+        "run softswitch processes under randomly generated load and faults, and check all rules",
+    ),
     "traffic": ("traffic", "show the contents of a traffic record"),
     "trunks": ("trunks", "dimension trunk groups: blocking, circuits, estimate, plan, what-if, plots"),
 }
@@ -36,7 +42,8 @@
     lines = [
         "usage: softswitch [COMMAND ...]",
         "",
-        "Without arguments: runs one softswitch (BALANCER_CONFIG).",
+        "Without arguments: runs one softswitch. The environment variable BALANCER_CONFIG must contain\n"
+        "the path of its configuration.",
         "",
     ]
     return "\n".join(
--- a/softswitch/cli/agent_client.py
+++ b/softswitch/cli/agent_client.py
@@ -12,7 +12,10 @@
 
 
 def send_request(path: str, command: str, name: str | None) -> dict[str, Any]:
-    """Sends one command to the agent and returns its response; `name` selects one softswitch, None all."""
+    """Sends one command to the agent and returns its response; `name` selects one softswitch, None all.
+
+    Raises OSError if the agent is not reached, and ValueError if its response is not JSON.
+    """
     with socket.socket(socket.AF_UNIX) as connection:
         connection.settimeout(TIMEOUT)
         connection.connect(path)
--- a/softswitch/cli/agents.py
+++ b/softswitch/cli/agents.py
@@ -1,4 +1,7 @@
-"""`softswitch agent` and the commands that are sent to a running agent: status, drain, restart, reload."""
+"""`softswitch agent` and the commands that are sent to a running agent: status, drain, restart, reload.
+
+An agent is a process that runs the softswitches of a host as its child processes.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 app = typer.Typer(add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False)
 Name = Annotated[str, typer.Argument(help="the name of a softswitch; default: all")]
 AGENT_NAMES = environment.names(environment.AGENT_SOCKET)
-At = Annotated[str, typer.Option("--socket", help="the agent's socket", envvar=AGENT_NAMES)]
+At = Annotated[str, typer.Option("--socket", help="path of the agent's local socket", envvar=AGENT_NAMES)]
 
 
 def application() -> typer.Typer:
@@ -38,7 +41,7 @@
 
 @app.command()
 def agent(file: Annotated[str, typer.Argument(help="a TOML file that lists the softswitches")]) -> None:
-    """Starts, monitors, restarts and drains softswitches."""
+    """Runs an agent, which starts, monitors, restarts and drains the softswitches of the file."""
     raise typer.Exit(supervise(file))
 
 
--- a/softswitch/cli/config.py
+++ b/softswitch/cli/config.py
@@ -1,4 +1,4 @@
-"""`softswitch config`: operator files."""
+"""`softswitch config`: checks and shows operator files."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 app = typer.Typer(
-    add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False, help="Operator files."
+    add_completion=False,
+    no_args_is_help=True,
+    pretty_exceptions_enable=False,
+    help="Operator files: Starlark files with the tables of the optional features of a softswitch.",
 )
 File = Annotated[str, typer.Argument(help="the operator file, such as deploy/operator.star")]
 
--- a/softswitch/cli/demo.py
+++ b/softswitch/cli/demo.py
@@ -1,4 +1,7 @@
-"""`softswitch demo`: runs a softswitch with stand-ins on loopback; needs no configuration file."""
+"""`softswitch demo`: runs a softswitch with stand-ins on loopback; needs no configuration file.
+
+Stand-ins are simulated callers, quote engines and a watch server that use the real protocols.
+"""
 
 from __future__ import annotations
 
@@ -109,13 +112,15 @@
 def demo(
     seconds: Annotated[float, typer.Option(help="seconds of traffic", min=1, max=600)] = 20.0,
     rate: Annotated[float, typer.Option(help="calls per second", min=0.1, max=500)] = 40.0,
-    engines: Annotated[int, typer.Option(help="stand-in quote engines", min=1, max=20)] = 3,
+    engines: Annotated[int, typer.Option(help="number of stand-in quote engines", min=1, max=20)] = 3,
     circuits: Annotated[int, typer.Option(help="circuits of each engine", min=1, max=100_000)] = 24,
     seed: Annotated[int, typer.Option(help="random seed of traffic and holding times")] = 1,
-    keep: Annotated[str, typer.Option(help="file for the traffic record; default: none is kept")] = "",
+    keep: Annotated[str, typer.Option(help="file to copy the traffic record to; default: none")] = "",
     as_json: Annotated[bool, typer.Option("--json", help="one JSON object at the end, no table")] = False,
 ) -> None:
-    """Runs a softswitch with stand-ins on loopback; shows a live table, then a traffic report."""
+    """Runs a softswitch with stand-ins (simulated callers and quote engines) on loopback; shows a live table,
+    then a traffic report.
+    """
     console = Console()
     live = None if as_json else Live(console=console, refresh_per_second=2)
 
--- a/softswitch/cli/fleet.py
+++ b/softswitch/cli/fleet.py
@@ -1,5 +1,9 @@
 """`softswitch fleet`: compares the fleet views of softswitches, runs drills on real processes and simulations
 on virtual time.
+
+A fleet view is the list of the members of the fleet and their states that each softswitch has. A drill runs
+softswitch processes with simulated callers and engines, injects the faults of a schedule, and checks that all
+views converge.
 """
 
 from __future__ import annotations
@@ -39,8 +43,8 @@
 
 
 def query(address: str, seconds: float, resource: str, key: str) -> dict[str, Any]:
-    """Returns a softswitch's GET /v1/`resource`, which must contain `key`. On failure, `error` has the
-    reason.
+    """Returns a softswitch's response to GET /v1/`resource`, which must contain `key`. If that fails, returns
+    only `error` with the reason.
     """
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65_536:
@@ -66,7 +70,11 @@
 
 
 def compare_views(views: dict[str, dict[str, Any]]) -> dict[str, Any]:
-    """Compares the views member by member. `differ_ms` is the longest time that they may have differed."""
+    """Compares the views member by member. `differ_ms` is the longest time that they may have differed.
+
+    In the row of a member, `said` has its record in each view, by the address of the queried softswitch.
+    `names_taken` has the other claimants of a queried member's name.
+    """
     received = {address: view for address, view in views.items() if "error" not in view}
     rows: dict[str, dict[str, Any]] = {}
     for address, view in received.items():
@@ -199,20 +207,27 @@
 
 @app.command()
 def drill(
-    softswitches: Annotated[int, typer.Option(help="real processes", min=2, max=60)] = 12,
+    softswitches: Annotated[int, typer.Option(help="number of softswitch processes", min=2, max=60)] = 12,
     sites: Annotated[int, typer.Option(min=1, max=12)] = 3,
     seconds: Annotated[float, typer.Option(help="duration of calls and faults", min=5, max=3600)] = 40.0,
     seed: Annotated[int, typer.Option(help="random seed of traffic, links and a generated schedule")] = 7,
     schedule: Annotated[str, typer.Option(help="a JSON file of faults; default: generated")] = "",
     rate: Annotated[float, typer.Option(help="calls per second in total", min=0, max=1000)] = 24.0,
     keep: Annotated[str, typer.Option(help="file to write the executed schedule to")] = "",
-    budgets: Annotated[str, typer.Option(help="a JSON file of budgets to divide")] = "",
-    heavy: Annotated[float, typer.Option(help="fraction of all calls at one softswitch", min=0, max=1)] = 0.0,
-    heavy_moves: Annotated[float, typer.Option(help="s until it moves to the next; 0: never", min=0)] = 0.0,
+    budgets: Annotated[str, typer.Option(help="a JSON file of budgets, as in an operator file")] = "",
+    heavy: Annotated[
+        float, typer.Option(help="extra fraction of calls for one softswitch", min=0, max=1)
+    ] = 0.0,
+    heavy_moves: Annotated[
+        float, typer.Option(help="seconds until another one gets it; 0: never", min=0)
+    ] = 0.0,
     as_json: AsJson = False,
 ) -> None:
-    """Runs softswitch processes with faults injected. Exits with 0 only if all views converged, no member was
-    falsely declared gone and no sum of a budget exceeded its total.
+    """Runs a drill: softswitch processes with simulated callers and engines, into which the faults of a
+    schedule are injected.
+
+    Exits with 0 only if all views converged, no member was falsely declared gone and no sum of a budget
+    exceeded its total.
     """
     from softswitch.standin.faults.drill import Drill
     from softswitch.standin.fleet import FleetFailed
@@ -292,7 +307,7 @@
 
 
 def budgets_table(budgets: dict[str, Any]) -> Table:
-    """Returns a table of the budgets of a drill, with the largest sums that were seen."""
+    """Returns a table of the budgets of a drill, in slots, with the largest observed sums."""
     table = Table("budget", "whole", "window, s", "max held", "max spent", "max at engines", "total spent")
     for name, b in budgets.items():
         table.add_row(
@@ -335,7 +350,9 @@
 
 
 def faults_table(report: dict[str, Any]) -> Table:
-    """Returns a table of the faults of a drill. Times are seconds of the run."""
+    """Returns a table of the faults of a drill. Times are in seconds: start and end from the start of the
+    run, the others from the start and the end of the fault.
+    """
     table = Table("fault", "who", "start, s", "end, s", "known to all after, s", "views equal after, s")
     for f in report["faults"]:
         times = [f[k] for k in ("began_s", "ended_s", "known_s", "settle_s")]
@@ -347,7 +364,7 @@
 def simulate(
     members: Annotated[int, typer.Option(min=2, max=20_000)] = 100,
     sites: Annotated[int, typer.Option(min=1, max=26)] = 4,
-    seconds: Annotated[float, typer.Option(help="of virtual time", min=5, max=86_400)] = 60.0,
+    seconds: Annotated[float, typer.Option(help="seconds of virtual time", min=5, max=86_400)] = 60.0,
     seed: Annotated[int, typer.Option(help="random seed")] = 7,
     schedule: Annotated[str, typer.Option(help="a JSON file of faults; default: generated")] = "",
     lose: Annotated[float, typer.Option(help="fraction of datagrams lost", min=0, max=0.9)] = 0.0,
--- a/softswitch/cli/plots.py
+++ b/softswitch/cli/plots.py
@@ -65,9 +65,9 @@
 
 
 def plot_plan(groups: list[network.Group], plan: planner.Plan, ends: dict[str, network.Service]) -> Any:
-    """Plots circuits and carried load of each group, and the loss of each stream by `ends`.
+    """Plots circuits and carried load of each group, and the loss of each stream at each of `ends`.
 
-    ends: service by end of the estimates' confidence interval: low, middle, high.
+    ends: the service with the traffic at the low end, the middle and the high end of its estimate, by name.
     """
     figure = Figure(figsize=(9, 6), layout="constrained")
     above, below = figure.subplots(2, 1)
--- a/softswitch/cli/soak.py
+++ b/softswitch/cli/soak.py
@@ -1,4 +1,7 @@
-"""`softswitch soak`: runs real softswitches with stand-ins on generated plans and checks all rules."""
+"""`softswitch soak`: runs softswitch processes with stand-ins on generated plans and checks all rules.
+
+A soak is one such run. Its plan (traffic, signals to processes, faults) is generated from a seed.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
 
 @app.command()
 def soak(
-    seed: Annotated[int, typer.Option(help="the first seed; it determines the whole plan")] = 1,
+    seed: Annotated[int, typer.Option(help="the first seed; each determines the plan of a soak")] = 1,
     seeds: Annotated[int, typer.Option(help="number of consecutive seeds", min=1, max=10_000)] = 1,
     seconds: Annotated[
         float, typer.Option(help="seconds of traffic for each seed", min=10, max=86_400)
@@ -40,7 +43,11 @@
     plant: Annotated[str, typer.Option(help="a fault to inject; `list` shows all names")] = "",
     as_json: Annotated[bool, typer.Option("--json", help="one JSON object per line, no table")] = False,
 ) -> None:
-    """Runs soaks. Exits with 0 only if no rule was violated."""
+    """Runs soaks. A soak runs softswitch processes with simulated callers and engines on a plan that is
+    generated from a seed, and checks all rules.
+
+    Exits with 0 only if no rule was violated.
+    """
     _check_plant(plant)
     if seeds == 1:
         reports = [orjson.loads(orjson.dumps(Soak(generate_plan(seed, seconds), plant).run().report()))]
@@ -63,7 +70,7 @@
     from softswitch.standin.soak.planted import FAULTS  # imports the whole softswitch
 
     if plant not in FAULTS:
-        exit_with_error(f"--plant {plant}: one of {', '.join(FAULTS)}")
+        exit_with_error(f"--plant {plant}: must be one of {', '.join(FAULTS)}")
 
 
 def _run_in_process(seed: int, seconds: float, plant: str) -> Report:
--- a/softswitch/cli/traffic.py
+++ b/softswitch/cli/traffic.py
@@ -1,4 +1,4 @@
-"""`softswitch traffic`: traffic records."""
+"""`softswitch traffic`: shows traffic records, the files in which softswitches count their calls."""
 
 from __future__ import annotations
 
@@ -20,13 +20,16 @@
 
 
 app = typer.Typer(
-    add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False, help="Traffic records."
+    add_completion=False,
+    no_args_is_help=True,
+    pretty_exceptions_enable=False,
+    help="Traffic records: files in which softswitches count their calls.",
 )
 
 
 @app.callback()
 def group() -> None:
-    """Traffic records."""
+    """Traffic records: files in which softswitches count their calls (`record` in the operator file)."""
 
 
 def format_cell(number: int) -> str:
@@ -35,7 +38,10 @@
 
 
 def summary(entries: list[dict[str, Any]]) -> dict[str, Any]:
-    """Returns the totals over all entries of a record, by route and class, and by cell and class."""
+    """Returns the totals over all entries of a record, by route and class, and by cell and class.
+
+    A route is the pair of the first cell tried (`tried`) and the cell that accepted the call (`took`).
+    """
     routes: dict[tuple[int, int, str], dict[str, Any]] = {}
     occupancies: dict[tuple[int, str], dict[str, Any]] = {}
     span = sum(e["to"] - e["from"] for e in entries)
--- a/softswitch/cli/trunks.py
+++ b/softswitch/cli/trunks.py
@@ -33,7 +33,10 @@
 
 
 app = typer.Typer(
-    add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False, help="Trunk groups."
+    add_completion=False,
+    no_args_is_help=True,
+    pretty_exceptions_enable=False,
+    help="Dimensions trunk groups (groups of circuits) by the formulas of teletraffic theory.",
 )
 Json = Annotated[bool, typer.Option("--json", help="one JSON object")]
 Erlangs = Annotated[float, typer.Option(help="offered traffic without redials")]
@@ -167,9 +170,11 @@
 @app.command()
 def estimate(
     files: Annotated[list[str], typer.Argument(help="traffic records of one or more softswitches")],
-    target: Annotated[float, typer.Option(help="allowed blocking for which circuits are computed")] = 0.01,
+    target: Annotated[float, typer.Option(help="allowed blocking; circuits are computed for it")] = 0.01,
     level: Annotated[float, typer.Option(help="confidence level of the intervals")] = 0.95,
-    precision: Annotated[float, typer.Option(help="desired relative half-width")] = 0.05,
+    precision: Annotated[
+        float, typer.Option(help="desired half-width of the intervals, relative to their midpoints")
+    ] = 0.05,
     plan_file: Annotated[str, typer.Option("--plan", help="file to write for `trunks plan`")] = "",
     as_json: Json = False,
 ) -> None:
@@ -283,25 +288,25 @@
     """A trunk group of a plan file."""
 
     name: str
-    module: int = 1
-    price: float = 1.0
-    most: int = 200
-    overflow: str = ""
-    reserve: int = 0
-    circuits: int = 0
+    module: int = 1  # circuits of one module
+    price: float = 1.0  # of one module
+    most: int = 200  # max number of modules to buy
+    overflow: str = ""  # name of the group that gets the calls which find this one full; empty: none
+    reserve: int = 0  # circuits reserved for calls that are offered to this group first
+    circuits: int = 0  # installed already, at no cost
 
 
 class PlanStream(msgspec.Struct, forbid_unknown_fields=True):
-    """A stream of a plan file. Without a target of its own it has its class's, else the file's."""
+    """A stream of a plan file. A stream without a target has the target of its class, or else of the file."""
 
     name: str
-    group: str
-    erlangs: float
+    group: str  # the group that it is offered to first
+    erlangs: float  # offered traffic
     klass: str = msgspec.field(default="", name="class")
     peakedness: float = 1.0
-    low: float = 0.0
+    low: float = 0.0  # ends of the confidence interval of `erlangs`; 0: the same as `erlangs`
     high: float = 0.0
-    target: float | None = None
+    target: float | None = None  # max end-to-end loss, as a fraction
 
 
 class PlanFile(msgspec.Struct, forbid_unknown_fields=True):
@@ -309,8 +314,8 @@
 
     groups: list[PlanGroup]
     streams: list[PlanStream]
-    target: float = 0.01
-    targets: dict[str, float] = {}  # by class
+    target: float = 0.01  # max end-to-end loss of a stream, as a fraction
+    targets: dict[str, float] = {}  # the same by class
 
 
 def load_network(file: str) -> tuple[list[network.Group], list[network.Stream]]:
@@ -416,7 +421,9 @@
 def plan(
     file: PlanPath,
     at: At = "high",
-    check: Annotated[bool, typer.Option("--check", help="simulate the plan; replan if it misses")] = False,
+    check: Annotated[
+        bool, typer.Option("--check", help="simulate the plan; replan if it misses a target")
+    ] = False,
     as_json: Json = False,
 ) -> None:
     """Finds the cheapest circuits that meet all targets. Exits with 1 if no available choice meets them."""
@@ -463,6 +470,7 @@
 
 
 def _ends_table(streams: list[network.Stream], ends: dict[str, network.Service]) -> Table:
+    """Returns a table of the loss of each stream at each end of its interval; `!` marks a missed target."""
     table = Table("stream", "allowed loss", *(f"loss at {end}" for end in ends))
     for s in streams:
         table.add_row(
@@ -479,9 +487,9 @@
 @app.command()
 def whatif(
     file: PlanPath,
-    lose: Annotated[str, typer.Option(help="a group that is out of service")] = "",
+    lose: Annotated[str, typer.Option(help="name of a group that is out of service")] = "",
     factor: Annotated[float, typer.Option(help="factor that the traffic is multiplied by")] = 1.0,
-    circuits: Annotated[str, typer.Option(help="NAME=N,...; default: the plan's for the high end")] = "",
+    circuits: Annotated[str, typer.Option(help="NAME=N,...; default: those planned for the high end")] = "",
     as_json: Json = False,
 ) -> None:
     """Computes the end-to-end loss with given circuits, without a group, or with other traffic."""
