--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -7,6 +7,8 @@
 python benchmarks/budgets.py use              # how much of the total is used under uneven demand
 python benchmarks/budgets.py growth 10 100    # messages, bytes and processor time by number of members
 python benchmarks/budgets.py window           # the sliding window of cells compared with an exact one
+
+A schedule is a list of faults with their times. `drawn` runs generated schedules, `planted` injects faults.
 """
 
 import sys
@@ -31,18 +33,20 @@
 )
 from softswitch.standin.faults.schedule import generate_schedule
 
-SECONDS, STEPS = 40.0, 600  # length of a generated schedule; steps of a random walk through the model
+SECONDS, STEPS = 40.0, 600  # length of a generated schedule in s; steps of a random walk through the model
 
 
 def make_plan(members, voters=5, drift=0.01):
-    """Returns a plan with two budgets."""
+    """Returns a plan with two budgets; `voters` is the number of members that elect the allocator."""
     addresses = tuple(address_of(k) for k in range(members))
     budgets = (Budget("quotes", "set-ups", 120, 2, 1000.0, "a"), Budget("few", "set-ups", 30, 1, 2000.0, "b"))
     return Plan(budgets, addresses, addresses[: min(members, voters)], drift=drift)
 
 
 def hot_spot(members, every):
-    """Returns a demand that is nearly all at one member and moves to the next after `every` ms."""
+    """Returns a demand function, in calls per second: nearly all calls are at one member, and at the next one
+    after each `every` ms.
+    """
     return lambda now, node, budget: 80.0 if node == f"n{int(now // every) % members}" else 1.0
 
 
@@ -459,7 +463,10 @@
 
 
 def spend_centrally(rate, total, window, seconds, seed):
-    """Returns the slots that a central limiter spends that sees all calls: the upper bound."""
+    """Returns the slots that one central limiter spends if it handles all calls: the upper bound.
+
+    rate: calls per second. total: slots. window: ms. seconds: length of the run.
+    """
     rng, now, spent, uses = Random(seed), 0.0, 0, deque()
     while (now := now + rng.expovariate(rate) * 1000) < seconds * 1000:
         while uses and uses[0] <= now - window:
@@ -474,7 +481,8 @@
     """Returns the fraction of the total that is spent.
 
     window: of the budget, in s. load: all calls relative to the total. share: the fraction of the calls at
-    one member. moves: whether that member changes every 10 s.
+    one member. moves: whether that member changes every 10 s. warm: s before the measurement, which lasts
+    until `seconds`. rate: the total per second.
     """
     addresses = tuple(address_of(k) for k in range(members))
     total = round(rate * window)
@@ -498,7 +506,9 @@
 
 def compare_use():
     """Prints the used fraction of the total with leases, with equal shares and with a central limiter."""
-    print("12 members, a total of 120 per second, one member has a share of all calls; 60 s; two seeds each")
+    print(
+        "12 members, a total of 120 per second, one member has a fraction of all calls; 60 s; two seeds each"
+    )
     for window in (1.0, 4.0, 8.0):
         for load in (0.8, 1.3):
             best = mean(
@@ -519,7 +529,7 @@
 
 
 def measure_growth(sizes):
-    """Prints bytes, messages and processor time per second and member, by number of members."""
+    """Prints bytes and messages sent, and processor time, per second and member, by number of members."""
     for n in sizes:
         addresses = tuple(address_of(k) for k in range(n))
         budgets = (
--- a/benchmarks/call_cost.py
+++ b/benchmarks/call_cost.py
@@ -4,8 +4,8 @@
 
 The runs are paired. Each checkout runs its own copy of this file: one caller's connection and four engines in
 one process, on a manually advanced clock. Each call is set up, answered, acknowledged, released by its engine
-and acknowledged again; every tenth call is cancelled. Nothing waits, so the time is that of the program and
-the small share of the stand-ins. Sockets, the reactor's timers and the start are not included;
+and acknowledged again; every tenth call is cancelled. Nothing waits, so the time is that of the program
+and, to a small part, of the stand-ins. Sockets, the reactor's timers and the start are not included;
 `benchmarks/operation.py cost` includes them.
 """
 
@@ -15,7 +15,7 @@
 from paired import compare_with
 
 ENGINES, CALLS_PER_TICK = 4, 5
-INFO = {
+INFO = {  # settings in the platform's form; times in ms
     "family": "trunks",
     "fleet_size": 4,
     "family_info": {"network_form": "groups", "own_number": -1, "clear_wait": 200.0, "holding": [8000.0]},
--- a/benchmarks/call_limits.py
+++ b/benchmarks/call_limits.py
@@ -1,6 +1,6 @@
 """Processor time per call and memory of the call limits, with the maximum of tracked numbers and tenants.
 
-python benchmarks/call_limits.py    # calls per second through admission, weight and answer; bytes
+python benchmarks/call_limits.py    # calls per second through admission, weight and attempt result; bytes
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 TENANTS = 1_000
 CALLS = 200_000
 NUMBERS = 2 * MAX_NUMBERS  # called numbers: twice as many as are tracked at once
-BUSY_FRACTION = 0.3
+BUSY_FRACTION = 0.3  # of the admitted calls, that end because the called number is busy
 CALL_CLASS = i.CallClass("plain", latency_objective=2_000.0)
 
 
--- a/benchmarks/cold_engines.py
+++ b/benchmarks/cold_engines.py
@@ -24,7 +24,7 @@
 SOFTSWITCHES, ENGINES, CAPACITY, RATE = 12, 4, 100.0, 270.0
 # Fraction of its capacity that a restarted engine has at first; overload factor; seconds of warm-up.
 INITIAL_CAPACITY, OVERLOAD_FACTOR, WARM_UP = 0.15, 2.0, 6.0
-RESTART_AT, OBSERVED_FOR, SECONDS = 22.0, 14.0, 42.0
+RESTART_AT, OBSERVED_FOR, SECONDS = 22.0, 14.0, 42.0  # s; of a run of SECONDS
 BUDGETS = ({"name": "cold", "what": "cold", "whole": 1, "floor": 0.01},)
 VARIANTS = {  # variant -> factor of fleet_size
     "budgets": 1.0,
@@ -92,6 +92,7 @@
         super()._start()
 
     def _announce(self, engine):
+        """Publishes the start of an engine in the endpoint list."""
         self.board.change(
             ListedEngine(
                 engine.settings.name, engine.address, engine.settings.cell, born_ms=int(time() * 1000) - 5
@@ -116,12 +117,13 @@
             engine.restart()
 
     def _evaluate(self):
+        # The peak number of call setups of a warming engine, in % of the number that overloads it.
         max_loads = [e.count["most of what a cold engine bears, %"] for e in self.engines[: ENGINES // 2]]
         self.results = {
-            "fell": sum(e.count["fell"] for e in self.engines),
+            "fell": sum(e.count["fell"] for e in self.engines),  # failures of engines under overload
             "most %": max_loads,
-            "stood": self._established() - self.before[0],
-            "tried": self._attempts() - self.before[1],
+            "stood": self._established() - self.before[0],  # calls established
+            "tried": self._attempts() - self.before[1],  # attempts
         }
 
 
@@ -158,7 +160,7 @@
             )
             print(
                 f"{variant}: engines failed under overload {sum(r['fell'] for r in results)} times; max load "
-                f"of engines in warm-up, % of their capacity: {max_loads}; "
+                f"of engines in warm-up, % of what they withstand: {max_loads}; "
                 f"established {established:.3f} of {attempts:.0f}",
                 flush=True,
             )
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -1,6 +1,7 @@
 """Cost of the fleet view: processor time per call and mean setup time with and without it, in pairs of runs;
 memory of a view of 1,000 members. `fleet_cost.py [PAIRS] [SECONDS] [SOFTSWITCHES] [WHAT]`;
-WHAT is `view` (with and without the view) or `budgets` (the view with and without budgets).
+WHAT is `view` (with and without the view) or `budgets` (the view with and without budgets). A day is one run
+of softswitches with stand-ins (`standin.fleet.Day`).
 """
 
 import subprocess
--- a/benchmarks/fleet_table.py
+++ b/benchmarks/fleet_table.py
@@ -25,7 +25,7 @@
 
 
 def rows(entry: dict) -> list[str]:
-    """Returns the rows of one journal entry."""
+    """Returns the rows of one journal entry; `kept` means that no rule was violated."""
     sites = [Path(a).stem for a in entry["argv"] if a.endswith(".toml")]
     site = sites[0] if sites else entry.get("site") or "tana-quoting"
     if not entry["days"]:
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -24,7 +24,7 @@
 
 
 def usage(pid):
-    """Returns a process's processor seconds and its number of wake-ups."""
+    """Returns a process's processor seconds and its number of wake-ups (voluntary context switches)."""
     fields = Path(f"/proc/{pid}/schedstat").read_text().split()
     status = Path(f"/proc/{pid}/status").read_text()
     return int(fields[0]) / 1e9, int(status.split("voluntary_ctxt_switches:")[1].split()[0])
@@ -32,6 +32,7 @@
 
 def engine(listener):
     """Accepts connections and sends its state on each, at once and then once per second."""
+    # A STATE message (type 43) with a load report (parameter 21), as in `net.engine_codec`.
     connections, text = [], b"x0:1000;x1:1000"
     message = struct.pack(">BQ", 43, 0) + struct.pack(">BH", 21, len(text)) + text
     listener.settimeout(0.05)
--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -42,7 +42,9 @@
 
 
 def compare_with_brute_force(seed):
-    """Returns the costs found by the planner and by brute force for a random network; None without a plan."""
+    """Returns the costs found by the planner and by brute force for a random network; a cost is None if no
+    plan was found.
+    """
     random = Random(seed)
     groups, streams = random_network(seed, 1, random.choice((1, 2, 3)), random.choice((4, 6)))
     try:
--- a/benchmarks/record_cost.py
+++ b/benchmarks/record_cost.py
@@ -1,5 +1,5 @@
 """Cost of the traffic record: CPU time of the softswitch per call with and without it, in pairs of runs;
-bytes of a day's file and of the record in memory. `python benchmarks/record_cost.py [PAIRS] [SECONDS]`.
+bytes of a file of 24 hours and of the record in memory. `python benchmarks/record_cost.py [PAIRS] [SECONDS]`.
 """
 
 import resource
@@ -13,7 +13,10 @@
 
 
 def run_day(record, seconds, seed):
-    """Runs a day; prints the processor seconds of the softswitch per attempt."""
+    """Runs a softswitch with stand-ins (a `Day`); prints its processor seconds per attempt.
+
+    record: whether it writes a traffic record.
+    """
     from softswitch.cli.demo import day as demo_day
     from softswitch.standin.fleet import Day, Fleet
 
--- a/benchmarks/replay_sockets.py
+++ b/benchmarks/replay_sockets.py
@@ -11,12 +11,12 @@
 from concurrent.futures import ThreadPoolExecutor
 from math import sqrt
 
-HOLDING_TIME, LATENCY_OBJECTIVE = 1.0, 0.01
+HOLDING_TIME, LATENCY_OBJECTIVE = 1.0, 0.01  # s
 MARGIN = 0.02  # the largest accepted difference between predicted and observed blocking
 
 
 def traffic_patterns():
-    """Returns the settings of each pattern's day by its name."""
+    """Returns the settings of each pattern's run (`standin.fleet.Day`) by the pattern's name."""
     from softswitch.standin.engine import EngineSettings
     from softswitch.standin.fleet import ClassSettings
     from softswitch.standin.traffic import StreamSettings
@@ -165,6 +165,10 @@
     # The factor is exact for random traffic; for other traffic it is that of random traffic of the same load.
     predicted *= queueing_factor
     sample = merge_samples(list(samples.values()))
+    # In the report, `noise` is the half-width of the 95% interval of `observed`, `without holding` the
+    # prediction if no blocked call were queued, `held ms` the mean time that lost attempts were queued,
+    # `plain` the Erlang B blocking, and `need` the circuits for 1% without and with regard to the pattern.
+    # `held` tells whether the prediction is within MARGIN.
     return {
         "day": name,
         "calls": int(sample.first_attempts.sum()),
@@ -204,7 +208,7 @@
     for row in rows:
         print(json.dumps(row))
     within_margin = sum(bool(r.get("held")) for r in rows)
-    print(f"{within_margin} of {len(rows)} days: predicted within {MARGIN} of observed")
+    print(f"{within_margin} of {len(rows)} patterns: predicted within {MARGIN} of observed")
 
 
 if __name__ == "__main__":
--- a/benchmarks/site_variant.py
+++ b/benchmarks/site_variant.py
@@ -1,8 +1,8 @@
-"""Prepares the folder of one of our sites for the bench: `site_variant.py deploy/sites/NAME.toml FOLDER`.
+"""Prepares the folder of a site for the bench: `site_variant.py deploy/sites/NAME.toml FOLDER`.
 
 The bench requires real.json, wire.json and unlock.txt in the folder of a site file. They belong to the kit
-and are not stored in this project: they are copied from the other customer's folder of the kit, which is next
-to this project.
+that contains the bench, and are not stored in this project. They are copied from the kit's folder of the
+other customer; the kit is next to this project.
 """
 
 import shutil
