--- a/softswitch/cli/budgets.py
+++ b/softswitch/cli/budgets.py
@@ -14,9 +14,9 @@
 
     views: the response of each queried address to GET /v1/budgets, or its `error`.
     In the result, `whole` is the lowest total and `wholes` are all configured totals, in slots. `held` has
-    the slots of each member, by its address, and `in_flight` is the number of leased slots that no member
-    reports yet. `over` names the budgets whose sum exceeds the total, and `in_office` lists the members that
-    report that they are the allocator.
+    the slots of each member, by its address, and `in_flight` is the number of granted slots that no queried
+    member reports. `over` names the budgets whose sum exceeds the total, and `in_office` lists the members
+    that report that they are the allocator.
     """
     reported = {address: view for address, view in views.items() if "error" not in view}
     budgets: dict[str, dict[str, Any]] = {}
--- a/softswitch/dimension/planner.py
+++ b/softswitch/dimension/planner.py
@@ -2,8 +2,8 @@
 
 The groups form clusters that share no traffic: a final group and the groups that overflow to it. Each cluster
 is solved separately. A 0/1 integer program (highspy) finds the cheapest choice, the number of modules of each
-group. The loss formulas are not linear and
-enter as cuts (logic-based Benders decomposition, Hooker and Ottosson 2003):
+group. The loss formulas are not linear and enter as cuts (logic-based Benders decomposition, Hooker and
+Ottosson 2003):
 
 - A bound by the total allowed loss. The mean traffic that overflows to a final group of n circuits is at most
   the random traffic of which n circuits lose the allowed amount, since peakier traffic loses more.
@@ -60,7 +60,7 @@
     service: Service
     programs_solved: int  # integer programs
     choices_evaluated: int  # choices whose loss was computed
-    monotone: bool  # no evaluated choice with more circuits loses more, so that the cost is proved minimal
+    monotone: bool  # no evaluated choice loses more with more circuits; `trunks plan` shows it as `proved`
 
 
 def clusters(groups: Sequence[Group], streams: Sequence[Stream]) -> list[tuple[list[Group], Group]]:
--- a/softswitch/dimension/traffic.py
+++ b/softswitch/dimension/traffic.py
@@ -33,7 +33,7 @@
     ended: int
     sum_squared_hold: float  # sum of the squared durations of the ended calls, in seconds squared
     redials: int = 0  # attempts that are not first attempts
-    blocked: int = 0  # attempts that found no circuit
+    blocked: int = 0  # attempts that got no circuit
 
     @property
     def seconds(self) -> float:
--- a/softswitch/measure/record.py
+++ b/softswitch/measure/record.py
@@ -22,7 +22,7 @@
     "carried",  # established within the latency objective of the class
     "late",  # established after it
     "blocked",  # rejected; at least one attempt found no free circuit
-    "processor_full",  # rejected; an attempt found an engine's processor overloaded, none was blocked
+    "processor_full",  # rejected; an attempt found an engine's processor overloaded, none lacked a circuit
     "refused_before",  # rejected before any attempt was started
     "refused_other",  # rejected for another reason after an attempt
     "failed",  # failed after an attempt that may have run
@@ -51,7 +51,7 @@
 
     counts: dict[str, int] = field(default_factory=lambda: dict.fromkeys(OUTCOMES, 0))
     redials_carried: int = 0
-    lost_ms: float = 0.0  # total time from setup to final response of the setups that did not succeed
+    lost_ms: float = 0.0  # total time from the start to the end of the setups that did not succeed
     delay: HdrHistogram = field(default_factory=histogram)  # ms from setup to establishment
 
 
--- a/softswitch/measure/recordfile.py
+++ b/softswitch/measure/recordfile.py
@@ -5,8 +5,8 @@
     file  = "WHTR" version:2 frame*          big-endian
     frame = length:4 xxh64:8 payload         the checksum is of the payload, seeded with the frame's position
 
-A payload is a JSON object. The first one that a process writes is a head, {"kind":"head",...}; one entry per
-interval follows. The checksum of a frame at another position does not match, so that a block that was moved
+A payload is a JSON object: a head, {"kind":"head",...}, each time a softswitch opens the file, then one entry
+per interval. The checksum of a frame at another position does not match, so that a block that was moved
 or duplicated is detected.
 """
 
@@ -39,7 +39,7 @@
     """
 
     path: str
-    heads: list[dict[str, Any]] = field(default_factory=list)  # one for each process that wrote to the file
+    heads: list[dict[str, Any]] = field(default_factory=list)  # one per opening of the file by a softswitch
     entries: list[dict[str, Any]] = field(default_factory=list)  # one for each interval
     stop_reason: str = ""
     valid_bytes: int = 0
--- a/softswitch/measure/streams.py
+++ b/softswitch/measure/streams.py
@@ -22,8 +22,8 @@
     redials: int = 0
     carried: int = 0
     lost_attempts: int = 0  # attempts that failed for any reason
-    blocked: int = 0  # lost attempts that found no circuit
-    lost_seconds: float = 0.0  # total time from setup to final response of the lost attempts
+    blocked: int = 0  # lost attempts that found no circuit, or were rejected before one was requested
+    lost_seconds: float = 0.0  # total time from the start to the end of the lost attempts
     call_seconds: float = 0.0  # time integral of the number of established calls of the class
     ended: int = 0  # calls of the class that ended
     sum_squared_hold: float = 0.0  # sum of their squared durations, in seconds squared
--- a/softswitch/operator/tables.py
+++ b/softswitch/operator/tables.py
@@ -117,9 +117,7 @@
     lease_s: Annotated[float, Meta(ge=1, le=120)] = 4.0  # term of the lease of an allocation
     promise_s: Annotated[float, Meta(ge=0.5, le=60)] = 3.0  # time that a voter is bound to one allocator
     drift: Annotated[float, Meta(ge=0, le=0.1)] = 0.01  # max relative error of the rate of a member's clock
-    record: Annotated[int, Meta(ge=0, le=100_000)] = (
-        0  # max number of uses to retain with their time, for checks
-    )
+    record: Annotated[int, Meta(ge=0, le=100_000)] = 0  # max uses retained with their time, for checks
 
     def __post_init__(self) -> None:
         if len(set(self.voters)) != len(self.voters) or len(set(self.members)) != len(self.members):
