--- a/softswitch/dimension/planner.py
+++ b/softswitch/dimension/planner.py
@@ -1,8 +1,9 @@
 """Finds the provably cheapest circuits for a network of trunk groups.
 
 The groups form clusters that share no traffic: a final group and the groups that overflow to it. Each cluster
-is solved separately. A 0/1 integer program (highspy) chooses modules. The loss formulas are not linear and
-enter as cuts (logic-based Benders decomposition, Hooker and Ottosson 2003):
+is solved separately. A 0/1 integer program (highspy) finds the cheapest choice, the number of modules of each
+group. The loss formulas are not linear and enter as cuts (logic-based Benders decomposition, Hooker and
+Ottosson 2003):
 
 - A bound by the total allowed loss. The mean traffic that overflows to a final group of n circuits is at most
   the random traffic of which n circuits lose the allowed amount, since peakier traffic loses more.
@@ -53,13 +54,13 @@
 class Plan:
     """The modules to buy, and the service that they give."""
 
-    modules: dict[str, int]
-    circuits: dict[str, int]
-    cost: float
+    modules: dict[str, int]  # by group
+    circuits: dict[str, int]  # by group, with those that are installed already
+    cost: float  # price of all modules
     service: Service
     programs_solved: int  # integer programs
     choices_evaluated: int  # choices whose loss was computed
-    monotone: bool  # no evaluated choice loses more with more circuits
+    monotone: bool  # no evaluated choice loses more with more circuits; `trunks plan` shows it as `proved`
 
 
 def clusters(groups: Sequence[Group], streams: Sequence[Stream]) -> list[tuple[list[Group], Group]]:
