--- a/softswitch/net/management.py
+++ b/softswitch/net/management.py
@@ -153,7 +153,7 @@
             "/v1/softswitch/activate": Route("POST", self._activate),
         }
         # Routes of components, by path or by a path prefix that ends with `/`.
-        self.component_calls: dict[str, ManagementRoute] = {}
+        self.component_routes: dict[str, ManagementRoute] = {}
         self.components: dict[str, Component] = {}  # their figures are part of the metrics
         self._sweep_scheduled = False  # only while there are connections
 
@@ -182,12 +182,12 @@
         route = self.routes.get(path)
         if route is not None:
             return route.run() if method == route.method else _wrong_method(path, route.method)
-        for prefix, call in self.component_calls.items():
+        for prefix, component_route in self.component_routes.items():
             if path == prefix or (prefix.endswith("/") and path.startswith(prefix)):
-                if method != call.method:
-                    return _wrong_method(path, call.method)
-                return call.handler(path[len(prefix) :])
-        known_paths = ", ".join((*self.routes, *self.component_calls))
+                if method != component_route.method:
+                    return _wrong_method(path, component_route.method)
+                return component_route.handler(path[len(prefix) :])
+        known_paths = ", ".join((*self.routes, *self.component_routes))
         return 404, {"error": f"no such call; there are {known_paths}"}
 
     def _ready(self) -> ManagementResponse:
--- a/softswitch/process/application.py
+++ b/softswitch/process/application.py
@@ -155,7 +155,7 @@
         except ComponentError as e:
             raise ConfigurationError(str(e)) from None
         if self.management:
-            self.management.component_calls = host.management_routes
+            self.management.component_routes = host.management_routes
             self.management.components = components.by_name
         return components
 
