--- a/softswitch/interface.py
+++ b/softswitch/interface.py
@@ -1,8 +1,14 @@
 """Types of the decision module: its settings, its input events and the actions that it returns.
 
 All times and durations are floats in milliseconds. Times are on the clock of the code that calls the module.
-A *call setup* is a request to establish a call; an *attempt* offers the call once to one endpoint (a quote
-engine).
+
+- A *softswitch* accepts calls and routes them. The softswitches that share the endpoints form a fleet.
+- An *endpoint* (a quote engine) is a server that answers calls. It belongs to a *cell*, an exchange that is
+  identified by a number. The endpoints of a cell share its *circuits*, which established calls occupy.
+- A *call setup* is a request to establish a call. A *redial* is a call setup by which a caller repeats an
+  earlier one that did not succeed.
+- An *attempt* offers the call once to one endpoint. The attempt *runs* once the endpoint processes it.
+- A *probe* tests an endpoint that gets no other calls: a single call shows whether the endpoint works again.
 """
 
 from __future__ import annotations
@@ -17,13 +23,13 @@
     """How an attempt ended. The values are part of counter names."""
 
     OK = "ok"  # the call was established and has ended
-    ERROR = "error"
+    ERROR = "error"  # the endpoint answered with an error
     REJECTED = "full"  # by the endpoint, for lack of capacity; the attempt never ran
-    TIMEOUT = "timeout"
-    CONNECT_FAILED = "connect_failed"  # the attempt never ran
-    RESET = "reset"
-    CANCELLED = "cancelled"
-    NOT_SENT = "moot"
+    TIMEOUT = "timeout"  # not answered in time; the attempt may have run
+    CONNECT_FAILED = "connect_failed"  # no connection to the endpoint; the attempt never ran
+    RESET = "reset"  # the attempt or the established call was cut off; the attempt may have run
+    CANCELLED = "cancelled"  # by the softswitch, or ended by the caller; the attempt may have run
+    NOT_SENT = "moot"  # the attempt never ran
 
 
 # After these outcomes, a retry waits for retry_delay.
@@ -69,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """Settings of one tenant."""
+    """Settings of one tenant: a group of callers with a common quota of calls."""
 
     name: str
     quota: float  # calls per second over all softswitches
@@ -80,12 +86,12 @@
     """Permissions of the decision module, and properties of the network, the endpoints and the tenants."""
 
     classes: tuple[CallClass, ...]
-    fleet_size: int = 1  # number of softswitches
+    fleet_size: int = 1  # number of softswitches that share the endpoints
     own_cell: int = -1  # cell of this softswitch's own exchange, which gets no calls; -1: none
     report_fields: tuple[str, ...] = ()  # of load reports: free, size, queue, latency_ms, qps and others
     may_cancel: bool = False
     may_message_peers: bool = False
-    may_probe: bool = False
+    may_probe: bool = False  # may request an endpoint's state by a message without a call
     may_send_retry_after: bool = False
     max_retry_after: float = 0.0  # ms
     max_attempts: int = 1  # per call
@@ -155,7 +161,7 @@
 class Endpoint:
     """One entry of the endpoint list."""
 
-    server: str
+    server: str  # name of the endpoint
     cell: int
     state: EndpointState
     started_at: float = 0.0  # clock time of its last start; 0: long ago
@@ -248,6 +254,7 @@
 
 
 NO_CALL_LIMITS = NoCallLimits()
+# Resources of an endpoint that the softswitches divide among themselves; see `Constraints.share`.
 SHARED_SLOW_START = "cold"  # call setups that a warming endpoint can take from all softswitches
 SHARED_PROBES = "probes"  # probes that an endpoint can take from all softswitches
 
@@ -256,9 +263,9 @@
 class LoadReport:
     """Load report of an endpoint; a negative value is unknown."""
 
-    circuits: float = -1.0
+    circuits: float = -1.0  # all circuits, in use or available
     available_circuits: float = -1.0
-    wait: float = -1.0  # ms
+    wait: float = -1.0  # ms until the endpoint answers a call setup
     rate: float = -1.0  # call setups per second that it can take
     queue: float = -1.0  # waiting call setups
 
@@ -298,11 +305,11 @@
 
     call: str
     call_class: str
-    destination_cell: int  # cell of first choice
+    destination_cell: int  # preferred cell; -1: none
     timeout: float  # ms until the caller abandons this setup
     redial: bool = False
-    transit: bool = False
-    circuits: float = 1.0  # that it occupies
+    transit: bool = False  # only endpoints of destination_cell may receive the call
+    circuits: float = 1.0  # circuits that the call occupies
     number: str = ""  # called number; empty: unknown
     tenant: str = ""  # name of the tenant; empty: none
 
@@ -312,9 +319,9 @@
     """The attempt was answered: the call is established."""
 
     call: str
-    attempt: int
+    attempt: int  # number of the attempt within the call, from 0
     server: str
-    elapsed: float  # ms since it was sent
+    elapsed: float  # ms since the attempt was sent
     # The further fields of AttemptEnded, with constant values: this attempt has not ended.
     outcome: ClassVar[None] = None
     call_over: ClassVar[bool] = False
@@ -332,9 +339,9 @@
     attempt: int
     server: str
     outcome: Outcome
-    elapsed: float  # ms since it was sent
-    call_over: bool = False  # the call needs no further answer
-    processor_full: bool = False  # with REJECTED: the processor is overloaded; False: no circuit is free
+    elapsed: float  # ms since the attempt was sent
+    call_over: bool = False  # the caller needs no further answer
+    processor_full: bool = False  # with REJECTED: the processor is overloaded; False: no circuit is available
     callee_busy: bool = False  # with ERROR: all lines of the called number are busy; the endpoint works
     retry_after: float = 0.0  # ms for which an overloaded processor requests no calls
     report: tuple[float, ...] = ()  # load report, in the order of the settings' report_fields
@@ -345,7 +352,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerAbandoned:
-    """The caller abandoned the call, which needs no answer."""
+    """The caller abandoned the call and needs no answer."""
 
     call: str
 
@@ -354,7 +361,7 @@
 class TimerFired:
     """A timer started by StartTimer expired."""
 
-    token: int
+    token: int  # of the StartTimer
 
 
 @dataclass(slots=True)
@@ -370,7 +377,7 @@
 class PeerMessageReceived:
     """A message from another softswitch arrived."""
 
-    source: int
+    source: int  # number of the softswitch that sent it
     data: bytes = b""
 
 
@@ -418,7 +425,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer the call as rejected: it is safe to try again."""
+    """Answer the call as rejected: the caller can safely retry."""
 
     call: str
     retry_after: float = 0.0  # ms; 0: not sent
@@ -441,7 +448,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Deliver TimerFired at a clock time."""
+    """Deliver TimerFired with this token at the clock time `at`."""
 
     at: float
     token: int
@@ -452,7 +459,7 @@
     """Send a message to another softswitch."""
 
     data: bytes
-    peer: int | None = None  # None: all
+    peer: int | None = None  # number of the softswitch that receives it; None: all others
 
 
 @dataclass(frozen=True, slots=True)
--- a/softswitch/limits/called_numbers.py
+++ b/softswitch/limits/called_numbers.py
@@ -24,7 +24,7 @@
     """State of a number that was busy recently."""
 
     busy_at: float  # time of the last busy answer
-    closed_until: float
+    closed_until: float  # time until which calls to the number are rejected
     interval: float  # ms for which the last busy answer or probe closes the number
 
 
@@ -36,8 +36,8 @@
         self.max_established = max_established
         self.numbers: OrderedDict[str, BusyNumber] = OrderedDict()  # the one busy longest ago first
         self.established: OrderedDict[str, str] = OrderedDict()  # call id -> number, the oldest call first
-        self.rejected = 0
-        self.probes = 0
+        self.rejected = 0  # total number of rejected calls
+        self.probes = 0  # total number of calls admitted as probes
 
     def admit(self, now: float, number: str) -> float:
         """Returns 0 if a call to the number is admitted; otherwise ms until the next one may be."""
--- a/softswitch/limits/tenants.py
+++ b/softswitch/limits/tenants.py
@@ -51,7 +51,7 @@
     def apply(self, settings: i.Settings) -> None:
         """Applies new settings; tenants that are still listed keep their tokens."""
         old_buckets, self.buckets = self.buckets, {}
-        self.over_weight = settings.over_quota_weight
+        self.over_weight = settings.over_quota_weight  # factor for calls over the quota
         self.min_weight = settings.min_weight
         for tenant in settings.tenants:
             bucket = self.buckets[tenant.name] = old_buckets.get(tenant.name) or TokenBucket(0.0)
--- a/softswitch/settings.py
+++ b/softswitch/settings.py
@@ -1,8 +1,9 @@
 """Parses the settings JSON into `interface.Settings`, for the simulator adapter and the softswitch.
 
-The simulator passes the object to an instance in its first message. A softswitch reads it from its
-configuration and validates it completely before it applies any of it. Unknown keys are ignored. The keys are
-those of the operators' pages; the rest of the code uses the names of `interface.Settings`.
+The simulator sends the settings to each simulated softswitch in its first message. A real softswitch reads
+them from its configuration and validates them completely before it applies any of them. Unknown keys are
+ignored. The keys are those of the operators' pages (a *lane* is a call class, an *account* is a tenant); the
+rest of the code uses the names of `interface.Settings`.
 """
 
 from __future__ import annotations
@@ -16,7 +17,8 @@
 
 Json = Any  # a value returned by `orjson.loads`; validated before use
 
-# Fields of load reports: name on the wire -> name in `interface.LoadReport.from_values`.
+# Fields of load reports: name on the wire -> name in `interface.LoadReport.from_values`. Some fields have two
+# names on the wire.
 REPORT_FIELDS = {
     "spare": "free",
     "total": "size",
@@ -34,7 +36,7 @@
 
 
 def parse_settings(info: dict[str, Json]) -> i.Settings:
-    """Parses a valid settings object; `check_settings` validates first."""
+    """Parses the settings without validating them; `check_settings` validates them first."""
     family = info.get("family_info") or {}
     limits = info.get("limits") or {}
     rules = info.get("rules") or {}
@@ -71,7 +73,7 @@
 
 def _parse_classes(lanes: list[dict[str, Json]], family: dict[str, Json]) -> tuple[i.CallClass, ...]:
     """Parses one class per lane; lists in `family` hold one value per lane, in the same order."""
-    grouped = family.get("network_form") == "groups"
+    grouped = family.get("network_form") == "groups"  # otherwise every cell accepts every class
     cells = (family.get("skilled_pools") or []) if grouped else []
     holding_times = family.get("holding") or []
     return tuple(
@@ -141,7 +143,7 @@
     "name": Key(TEXT.is_valid, TEXT.expected, required=True),
     "quota_per_s": Key(DURATION.is_valid, "a number of calls per second, 0 or more"),
 }
-# The keys of each object within the settings; "" stands for the settings object itself.
+# The keys of each object within the settings; "" stands for the outermost object.
 OBJECT_KEYS = {
     "": {"fleet_size": COUNT, "registry_mode": TEXT, "tick": POSITIVE, "over_share_worth": SHARE},
     "limits": {
--- a/softswitch/simulator_adapter.py
+++ b/softswitch/simulator_adapter.py
@@ -1,7 +1,9 @@
 """Connects the decision module to the simulator: converts messages to events, and actions to messages.
 
-The protocol has one JSON object per line on standard input and output, and one reply to each batch. Unknown
-keys are ignored. The names of fields and values are defined by the simulator.
+The protocol has one JSON object per line on standard input and output. The simulator sends a batch of events
+and ends it with `over_to_you`; the reply is a batch of actions that ends with `done`. `front` is the number
+of an *instance*, which is one simulated softswitch. Unknown keys are ignored. The names of fields and values
+are defined by the simulator.
 """
 
 from __future__ import annotations
@@ -42,7 +44,8 @@
     "stale_copy": i.UpdateKind.STALE,
     "broken": i.UpdateKind.FAILED,
 }
-# An answer's `reason` has one of these in the low four bits, and a retry-after time in ms in the others.
+# `reason` of an `answer` is REASON_BASE * t + c, where t is a retry-after time in ms and c is a code, such as
+# one of the two below.
 REASON_BASE = 16
 PROCESSOR_FULL = 3
 NUMBER_BUSY = 4
@@ -135,7 +138,7 @@
 
 
 class Adapter:
-    """Hosts the instances of one process; they share only the numbered endpoint lists of the protocol."""
+    """Runs all instances in one process. They share only the numbered endpoint lists of the protocol."""
 
     def __init__(self) -> None:
         self.controllers: dict[int, Controller] = {}  # by instance number
@@ -152,7 +155,7 @@
                 return []
             if self.clock is None:
                 raise WireError(f"{verb} before the first clock")
-            if verb == "over_to_you":
+            if verb == "over_to_you":  # the end of the simulator's batch
                 return [END_OF_BATCH]
             decide = self._read(verb, message, self.clock)
         except KeyError as e:
@@ -175,7 +178,7 @@
 
     def _read(self, verb: str, message: Message, now: float) -> Decision:
         """Parses the complete message; the returned function lets the instance handle it."""
-        if verb == "sheet":
+        if verb == "sheet":  # a numbered endpoint list; a `membership` message names its number
             self.endpoint_lists[message["table"]] = tuple(map(_parse_endpoint, message["records"]))
             return list
         instance = message["front"]
@@ -184,7 +187,7 @@
             controller = Controller(settings, message["seed"], CallLimits(settings))
             self.controllers[instance] = controller
             return partial(controller.start, now)
-        if verb == "down":
+        if verb == "down":  # the instance stops
             self.controllers.pop(instance, None)
             return list
         event = self._event(verb, message)
