--- a/softswitch/policy/controller.py
+++ b/softswitch/policy/controller.py
@@ -1,11 +1,16 @@
-"""Queues calls; sends, retries and cancels attempts; gives up calls: `handle(now, event) -> actions`."""
+"""Queues calls; sends, retries and cancels attempts; gives up calls: `handle(now, event) -> actions`.
+
+A call is sent only through an open *gate*, the admission gate of one endpoint (`state.Gate`). If no gate is
+open, the call is queued. A *sweep* is a periodic review: of the attempts in flight, which may be stuck, when
+the sweep timer fires; of all queued calls in `_serve_queue`.
+"""
 
 from softswitch import interface as i
 from softswitch.policy import endpoints
 from softswitch.policy.state import LONG_AGO, Call, Gate, State
 
 SWEEP_INTERVAL = 25.0  # ms; the sweep timer is set to two of these while calls are queued, otherwise four
-SWEEP_TOKEN = 0  # of the sweep timer; timers of calls count from 1
+SWEEP_TOKEN = 0  # token of the sweep timer; the tokens of the calls' timers count from 1
 STALL_THRESHOLD = 100.0  # ms; a timer that fires later than this shows a stall of this process
 ANSWER_RESERVE = 0.15  # fraction of the objective reserved for the next answer when an attempt is cancelled
 MAX_FAILED_GATES = 1  # if more endpoints answer a call with an error, the call itself is taken to be invalid
@@ -17,11 +22,13 @@
     def __init__(self, settings: i.Settings, seed: int, limits: i.CallLimits = i.NO_CALL_LIMITS) -> None:
         super().__init__(settings, seed)
         self.limits = limits
-        self.max_timeout: dict[str, float] = {}  # of call setups that are no redials, by class
+        self.max_timeout: dict[str, float] = {}  # ms; longest timeout of a first call setup, by class
         self.queued: dict[str, Call] = {}  # calls with no attempt in flight, in order of arrival
-        self.stacks: dict[tuple[str, float, int], list[Call]] = {}  # calls ready to send, newest last
+        # Queued calls that are ready to send, by `Call.stack_key`; the newest call of a stack is last.
+        self.stacks: dict[tuple[str, float, int], list[Call]] = {}
         self.delayed: list[Call] = []  # queued calls that wait for retry_delay
         self.max_blocked_weight = -1.0  # highest weight of the calls that found no open gate
+        # When the queue was last served, when it was last swept, and the time of the last event.
         self.served_at = self.swept_at = self.last_event_at = LONG_AGO
         self.timers, self.next_token = dict[int, str](), SWEEP_TOKEN + 1  # token: call id
         self.sweep_due: float | None = None
@@ -87,7 +94,8 @@
         self.next_token += 1
         self.queued[call.id] = call
         self.constraints.attempt_wanted(call_class.name, False, call_class.priority_weight)
-        if call.weight > self.max_blocked_weight:  # otherwise queued calls go first, within a sweep
+        # A call of no higher weight than a queued one waits: `_serve_queue` sends the higher weights first.
+        if call.weight > self.max_blocked_weight:
             self._try(now, call)
         self._stack(now, call)
 
@@ -128,7 +136,7 @@
                     self.actions.append(i.CancelAttempt(call.id, call.attempts - 1))
 
     def _stuck(self, now: float, call: Call, gate: Gate) -> bool:
-        """Whether to cancel the attempt: lost, or unanswered with just enough time left for another one."""
+        """Whether to cancel the attempt: it is lost, or unanswered with just enough time left for another."""
         sent_at = gate.in_flight.get((call.id, call.attempts - 1), now)
         objective = call.call_class.latency_objective * (1 - ANSWER_RESERVE)
         remaining = call.received_at + objective - self.settings.retry_delay - now
@@ -142,7 +150,7 @@
         return any(g.is_open(now, limit) for g in gates if lost or g is not gate)
 
     def _serve_queue(self, now: float) -> None:
-        """Sends the queued calls that find an open gate, highest weight first; gives up late ones."""
+        """Sends the queued calls that find an open gate, highest weight first; gives up overdue calls."""
         self.max_blocked_weight, self.served_at = -1.0, now
         to_stack, self.delayed = self.delayed, []
         sweep = now >= self.swept_at + min(SWEEP_INTERVAL, len(self.queued) / 20)
@@ -180,7 +188,9 @@
         if gate is not None:
             self._send(now, call, gate)
         elif ready and now >= call.give_up_at:
-            self._give_up(call)  # calls wait here: those that wait at an endpoint are retransmitted
+            # Until then the call waits in this queue: the network retransmits a setup that an endpoint
+            # leaves waiting.
+            self._give_up(call)
         elif ready:
             self.max_blocked_weight = max(self.max_blocked_weight, call.weight)
         return gate is not None
@@ -201,7 +211,7 @@
         self.actions.append(i.SendAttempt(call.id, gate.server))
 
     def _give_up(self, call: Call, late: bool = False) -> None:
-        # A late call that was never sent is rejected.
+        # `late`: the deadline has passed. Even then, a call that was never sent is rejected, not failed.
         failed = call.unsafe or (late and (call.may_have_run or call.gate is not None))
         self.actions.append(i.Fail(call.id) if failed else i.Reject(call.id, self.settings.retry_after))
         self._forget(call.id)
--- a/softswitch/policy/endpoints.py
+++ b/softswitch/policy/endpoints.py
@@ -1,23 +1,31 @@
-"""Tracks the endpoints and this softswitch's fraction of their capacity; selects an endpoint for a call."""
+"""Tracks the endpoints and this softswitch's fraction of their capacity; selects an endpoint for a call.
+
+An endpoint that fails repeatedly is *ejected*: its admission gate stays closed. A *probe* is a single call
+sent through a closed gate; its answer shows whether the endpoint works again. An endpoint that was started
+recently is in *slow start*: it gets few calls, and more as it warms up. A *window* is the time constant
+`State.window`, in ms. Times are in ms, and rates in call setups per ms, if not noted otherwise.
+"""
 
 from math import exp, sqrt
 
 from softswitch import interface as i
 from softswitch.policy.state import EJECTION_FAILURES, LONG_AGO, OVERLOADED_FOR, Call, Gate, State
 
-MIN_WAIT, MAX_WAIT = 0.08, 0.15  # fractions of the objective that calls may wait at an endpoint, by weight
+# Fractions of the latency objective that calls may wait at an endpoint: MAX_WAIT for the highest weight.
+MIN_WAIT, MAX_WAIT = 0.08, 0.15
 PROBE_INTERVAL = 1000.0  # ms between probes of a closed gate
 PROBE_FRACTION = 0.2  # the probes of all softswitches, as a fraction of the endpoint's capacity
 TOLERATED_QUEUE = 3.0  # call setups that may wait at an endpoint without counting as overload
 HEADROOM = 1.25  # rate of call setups to an overloaded endpoint, as a multiple of its known capacity
 SLOW_START_SAFETY = 0.85  # fraction of the slow start budget that is used: the estimates are rough
-SLOW_START_LIFETIME = 0.25  # fraction of overload_window after which an unused slow start permit expires
+# Fraction of overload_window after which an unused permit of the pacer expires during slow start.
+SLOW_START_LIFETIME = 0.25
 MIN_USED = 0.1  # minimum fraction of its circuits that an endpoint is assumed to fill, without observations
 MAX_REMOVED_GATES = 8  # retained: the circuits used in their cells indicate the capacity of replacements
 
 
 def count_failure(state: State, gate: Gate) -> None:
-    """Counts a failure; enough of them eject the endpoint."""
+    """Counts a failure. EJECTION_FAILURES of them eject the endpoint, which is logged once."""
     gate.failures += 1
     if EJECTION_FAILURES <= gate.failures < EJECTION_FAILURES + 1:
         state.actions.append(i.WriteLog(f"endpoint {gate.server} ejected: fails or is silent, probes only"))
@@ -47,6 +55,7 @@
 
 
 def _answered(state: State, now: float, gate: Gate, sent_at: float | None, event: i.AttemptEvent) -> None:
+    """Updates the gate after a message of its endpoint: an answer, rejection, error or end of a call."""
     if gate.answered_at > LONG_AGO:
         gate.answer_interval += (now - gate.answered_at - gate.answer_interval) / 5
     gate.answered_at = now
@@ -144,7 +153,11 @@
 
 
 def capacity(state: State, now: float, gate: Gate) -> float:
-    """Call setups per ms once warmed up, from the circuits seen in use in its cell or at warm endpoints."""
+    """Returns how many call setups per ms the endpoint can take once warmed up.
+
+    Estimated from the highest number of circuits seen in use in its cell, or from the fraction that is in use
+    at the endpoints that are warmed up.
+    """
     if now - gate.capacity_at > state.window / 2:
         ready = [g for g in state.gates.values() if g.state is i.EndpointState.READY]
         warmed_up = [g for g in ready if g.slow_start_at is None and g.max_used_circuits > 0]
@@ -181,7 +194,8 @@
         return False
     fraction = state.constraints.share(i.SHARED_PROBES, gate.server, 1 / state.settings.fleet_size)
     interval = max(PROBE_INTERVAL, 1 / max(1e-9, fraction * PROBE_FRACTION * capacity(state, now, gate)))
-    if now - gate.probed_at > 2 * interval > 2 * PROBE_INTERVAL:  # random: not all probe at once
+    if now - gate.probed_at > 2 * interval > 2 * PROBE_INTERVAL:
+        # A random start, so that the softswitches do not all probe at once.
         gate.probed_at = now - interval * state.random.random()
     return now - gate.probed_at >= interval
 
@@ -201,12 +215,15 @@
         gate.pacer.active = False
         return True
     used = gate.circuits - gate.available_circuits
+    # Paced for lack of circuits: the rate at which calls end, plus the available circuits within a window.
+    # 1e9 stands for an unlimited rate.
     rate = used / state.holding_time + gate.available_circuits / state.window if short else 1e9
     rate = min(rate, HEADROOM * max(gate.max_rate / 1000, full_rate)) if overloaded else rate
     lifetime = 2 / (fraction * max(rate, 1e-9))
     if gate.slow_start_at is not None:
         # Within one overload_window, the softswitches can use the permits issued in it, and those issued up
         # to one lifetime before it.
+        # `level`: the fraction of its full capacity that the endpoint has reached so far.
         level = settings.initial_capacity ** (1 - (now - gate.slow_start_at) / settings.warm_up)
         budget = settings.overload_factor * SLOW_START_SAFETY / (1 + SLOW_START_LIFETIME)
         rate, lifetime = min(rate, budget * level * full_rate), settings.overload_window * SLOW_START_LIFETIME
--- a/softswitch/policy/state.py
+++ b/softswitch/policy/state.py
@@ -1,4 +1,7 @@
-"""State of the decision module: the admission gate of each endpoint, and the unanswered calls."""
+"""State of the decision module: the admission gate of each endpoint, and the unanswered calls.
+
+All times are in ms. A *window* is the time constant `State.window`, by which answer delays are smoothed.
+"""
 
 from math import exp, floor
 from random import Random
@@ -6,7 +9,7 @@
 from softswitch import interface as i
 
 LONG_AGO = -1e12  # ms
-SMOOTHING = 1000.0  # ms; time constant by which answer delays are smoothed and decay
+SMOOTHING = 1000.0  # ms; maximum window
 MAX_MEMORY = 4.0  # windows; delays of an endpoint that answers rarely decay more slowly, up to this
 OVERLOADED_FOR = 10.0  # windows for which calls to an overloaded endpoint are paced
 MAX_DISTANCE_DELAY = 0.4  # windows; a shorter delay may be an endpoint's distance, a longer one is load
@@ -14,13 +17,17 @@
 
 
 class DelayEstimate:
-    """Smoothed answer delay of own call setups, and the reported wait; both decay without new samples."""
+    """Answer delay of an endpoint: measured and smoothed, and as reported by the endpoint.
+
+    The measured delay is that of this softswitch's call setups. Both values decay without new samples.
+    """
 
     def __init__(self, window: float) -> None:
         self.window = window  # ms; time constant of the smoothing and the decay
         self.delay = self.reported_wait = 0.0  # ms
-        self.in_flight = 0.0  # own unanswered call setups at the time of an answer, smoothed
-        self.observed_at = self.reported_at = LONG_AGO
+        # This softswitch's unanswered call setups at the time of an answer, smoothed.
+        self.in_flight = 0.0
+        self.observed_at = self.reported_at = LONG_AGO  # time of the last measured delay; of the last report
 
     def observe(self, now: float, delay: float, in_flight: int) -> None:
         """Records the delay of an answer."""
@@ -30,9 +37,10 @@
         self.observed_at, self.reported_wait = now, 0.0
 
     def expected(self, now: float, in_flight: int, memory: float) -> float:
-        """Expected delay of one more call setup.
+        """Returns the expected delay of one more call setup; `memory` is the time constant of the decay.
 
-        It grows with the call setups in flight, as those of the other softswitches are assumed to grow too.
+        The delay grows with this softswitch's call setups in flight. Those of the other softswitches are
+        assumed to grow likewise.
         """
         aged = self.delay * exp(-(now - self.observed_at) / memory) * ((in_flight + 1) / (self.in_flight + 1))
         return max(aged, self.reported_wait * exp(-(now - self.reported_at) / memory))
@@ -42,7 +50,7 @@
     """Issues permits to send at a given rate. Unused permits expire, so that no burst can accumulate."""
 
     def __init__(self) -> None:
-        self.active, self.used = False, 0
+        self.active, self.used = False, 0  # used: permits that were used or have expired
         self.issued = self.updated_at = 0.0  # permits issued so far, and the time of that count
 
     def available(self, now: float, rate: float, lifetime: float, phase: float) -> int:
@@ -67,14 +75,18 @@
         self.in_flight: dict[tuple[str, int], float] = {}  # unanswered (call, attempt): send time, in order
         self.newest_answered = LONG_AGO  # send time of the most recently sent call setup that was answered
         self.answered_at, self.answer_interval = LONG_AGO, 0.0  # last answer; ms between answers, smoothed
-        self.established, self.failures = 0, 0.0  # own calls; failures, halved by each established call
+        # established: this softswitch's calls at the endpoint. failures: halved by each established call.
+        self.established, self.failures = 0, 0.0
         self.connection_failed_at = self.probed_at = self.capacity_at = LONG_AGO
-        self.closed_until = self.overloaded_until = LONG_AGO  # by its retry_after; by a delay or report
+        # closed_until: set by the endpoint's retry_after. overloaded_until: set by a long delay or a report.
+        self.closed_until = self.overloaded_until = LONG_AGO
         self.tolerated_wait = self.fastest_answer = 0.0  # ms; a few waiting call setups are no overload
         self.slow_start_at: float | None = None  # start of its warm-up; None: warmed up
-        self.circuits, self.available_circuits = endpoint.weight, 1e12  # of its cell
+        # Circuits of its cell, as last reported. Before the first report, all calls are assumed to find one.
+        self.circuits, self.available_circuits = endpoint.weight, 1e12
         self.max_used_circuits, self.circuits_reported_at = 0.0, LONG_AGO  # the maximum decays slowly
-        self.capacity = self.max_rate = 0.0  # call setups per ms once warmed up; max per s reported, decaying
+        # capacity: call setups per ms once warmed up. max_rate: highest reported rate per s; it decays.
+        self.capacity = self.max_rate = 0.0
 
     def observe(self, now: float, delay: float) -> None:
         """Records the delay of an answer; a long one marks the endpoint as overloaded."""
@@ -83,11 +95,17 @@
             self.overloaded_until = now + OVERLOADED_FOR * self.estimate.window
 
     def queued(self) -> list[float]:
-        """Send times of call setups that may wait there, oldest first; overtaken ones are taken as lost."""
+        """Returns the send times of the call setups that may wait at the endpoint, oldest first.
+
+        A setup that was sent before an answered one is assumed to be lost.
+        """
         return [t for t in self.in_flight.values() if t >= self.newest_answered] if self.in_flight else []
 
     def expected_wait(self, now: float) -> float:
-        """Ms until one more call setup is answered; at least the age of the oldest, which reveals a stall."""
+        """Returns the ms until one more call setup would be answered.
+
+        This is at least the age of the oldest queued setup, which reveals a stall of the endpoint.
+        """
         queued, window = self.queued(), self.estimate.window
         memory = min(max(window, self.answer_interval), MAX_MEMORY * window)
         expected = self.estimate.expected(now, len(queued), memory)
@@ -112,8 +130,9 @@
         self.gate: Gate | None = None  # of the attempt in flight
         # Answered with an error; counted as failures if another endpoint establishes the call.
         self.failed_gates: list[Gate] = []
-        self.may_have_run = self.unsafe = self.cancelling = False  # unsafe: and a retry could do harm
-        self.ready_at, self.give_up_at = now, LONG_AGO  # earliest time of an attempt; end of queueing
+        # may_have_run: an attempt may have run. unsafe: therefore a retry could do harm.
+        self.may_have_run = self.unsafe = self.cancelling = False
+        self.ready_at, self.give_up_at = now, LONG_AGO  # earliest time of the next attempt; end of queueing
 
 
 class State:
