--- a/softswitch/core/call.py
+++ b/softswitch/core/call.py
@@ -1,4 +1,8 @@
-"""The model of a call: setup request, call states, and the interfaces to callers, engines and observers."""
+"""The model of a call: setup request, call states, and the interfaces to callers, engines and observers.
+
+An *engine* (a quote engine) is the server that answers call setups; the decision module calls it an endpoint.
+`softswitch.interface` defines attempt, cell, circuit and redial. All times are in ms.
+"""
 
 from __future__ import annotations
 
@@ -94,10 +98,10 @@
     call_class: str
     number: str  # called number
     timeout: float  # ms for which the caller waits, counted from now
-    description: bytes = b""
-    destination_cell: int = -1
+    description: bytes = b""  # body of the request, passed to the engine unchanged
+    destination_cell: int = -1  # preferred cell; -1: none
     redial: bool = False
-    circuits: float = 1.0
+    circuits: float = 1.0  # circuits that the call occupies
     tenant: str = ""  # tenant of the call; empty: none
 
     def __post_init__(self) -> None:
@@ -125,7 +129,7 @@
         """Reports that a call is established; `description` is the engine's description."""
 
     def call_failed(self, call: str, reason: FailureReason, retry_after: float) -> None:
-        """Reports that a call is not established; `retry_after` is in ms, 0 means no advice."""
+        """Reports that a call is not established; `retry_after` is in ms, 0: not sent."""
 
     def call_released(self, call: str, cause: int) -> None:
         """Reports that an established call has ended."""
@@ -181,7 +185,7 @@
     request: SetupRequest
     caller: Caller
     received_at: float
-    deadline: float  # when the caller stops waiting
+    deadline: float  # time at which the caller stops waiting
     max_attempts: int = 1
     # As configured for the class when the call was received. If true, the call may be rejected although an
     # attempt may have run.
@@ -189,7 +193,7 @@
     state: CallState = CallState.ACCEPTED
     attempt: int = -1  # number of the last attempt, from 0; -1: none yet
     server: str | None = None  # engine of the attempt in flight or of the established call
-    sent_at: float = 0.0
+    sent_at: float = 0.0  # time of the last attempt
     written: bool = False  # whether an attempt was written to an engine; until then none can have run
     retry_at: float = 0.0  # earliest time of the next attempt, set by retry_delay
     established_at: float | None = None
--- a/softswitch/core/counters.py
+++ b/softswitch/core/counters.py
@@ -72,7 +72,7 @@
     # WebSocket callers
     CONTROL_MESSAGES: Final = "control messages"
     CONTROL_SOCKETS_REFUSED: Final = "control sockets turned away"
-    # management calls
+    # management requests
     MANAGEMENT_SHED: Final = "mgmt shed"
     # the peer process and optional components
     PASSED_TO_PEER_PROCESS: Final = "passed to the other process"
--- a/softswitch/core/lifecycle.py
+++ b/softswitch/core/lifecycle.py
@@ -1,7 +1,10 @@
 """The lifecycle phase of this process, which decides whether it accepts callers.
 
-SIP OPTIONS, the management calls, SIGTERM and the agent query or change the phase here; none of them stores
-its own readiness flag. Times are passed in, in ms: this module reads no clock.
+SIP OPTIONS, the management requests, SIGTERM and the agent query or change the phase here; none of them
+stores its own readiness flag. Times are passed in, in ms: this module reads no clock.
+
+After a *drain*, the process accepts no callers until it is activated again. In a *handover*, a successor
+process takes over the listeners and accepts the new connections. A *stop* ends the process.
 """
 
 from __future__ import annotations
@@ -9,8 +12,8 @@
 from collections.abc import Callable
 from enum import Enum
 
-# Ms after a drain. 4 s after it, no caller's connection may be idle or hold a call setup that was received in
-# the last 2 s.
+# Ms from the start of a drain. 4 s after it, no caller's connection may be idle or hold a call setup that was
+# received in the last 2 s.
 DRAIN_ADMITS_FOR = 2_200.0  # call setups are still accepted
 DRAIN_KEEPS_CONNECTION_FOR = 3_850.0  # one connection stays open for releases of established calls
 DRAIN_LATE_SETUP_FROM = 1_700.0  # call setups received after this ...
@@ -21,7 +24,7 @@
 
 
 class Phase(Enum):
-    """Phase of this process. The management calls use the values."""
+    """Phase of this process. The management API publishes the values."""
 
     STARTING = "starting"  # the listener is not open or the endpoint list is not known yet
     SERVING = "serving"
--- a/softswitch/core/policy_executor.py
+++ b/softswitch/core/policy_executor.py
@@ -1,7 +1,7 @@
 """Feeds events to the decision module and carries out its actions on the calls.
 
-All times are in ms on the clock of the timer wheel. The guards here enforce the rules even if the decision
-module violates one.
+All times are in ms on the clock of the timer wheel. The *guards* are checks here that enforce the rules on
+attempts and answers even if the decision module violates one; the counters `guard: ...` count such cases.
 """
 
 from __future__ import annotations
@@ -80,6 +80,7 @@
     # settings and constraints
 
     def _adapted(self, settings: i.Settings) -> i.Settings:
+        """Returns the settings with this process's slow start share, and with slack in the retry delay."""
         delay = settings.retry_delay + RETRY_DELAY_SLACK if settings.retry_delay else 0.0
         return replace(settings, slow_start_share=self.slow_start_share, retry_delay=delay)
 
--- a/softswitch/core/predecessor.py
+++ b/softswitch/core/predecessor.py
@@ -1,7 +1,7 @@
 """Calls of the predecessor process, which stopped or died while they were established.
 
-For a while after the start an unknown id may name a call of the predecessor. An engine's release of it is
-passed to the callers, and a caller's release to every engine.
+For a while after the start, an unknown call id may name a call of the predecessor. An engine's release of
+such a call is passed to the callers, and a caller's release of it to every engine.
 """
 
 from __future__ import annotations
@@ -32,8 +32,9 @@
         if now >= self.until:
             self.ended.clear()
             return
-        # The oldest id is dropped; a late duplicate of its release would be passed on, which is harmless. If
-        # releases were no longer passed on at the limit, callers of the predecessor would not get theirs.
+        # At the limit the oldest id is dropped. A late duplicate of its release would then be passed on,
+        # which is harmless. If no more releases were passed on at the limit, the callers of the predecessor
+        # would not be notified of the end of their calls.
         if len(self.ended) >= MAX_ENDED_CALLS:
             del self.ended[next(iter(self.ended))]
         self.ended[call] = None
--- a/softswitch/core/release_delivery.py
+++ b/softswitch/core/release_delivery.py
@@ -137,7 +137,10 @@
         return [self._send(now, call, target)] if target is not None else []
 
     def acknowledge(self, call: str, by_answer: bool = True) -> bool:
-        """Removes a release that the caller answered, or whose call it ended. False: none was pending."""
+        """Removes a release that the caller answered (`by_answer`), or whose call the caller itself ended.
+
+        False: none was pending.
+        """
         if by_answer and call in self.pending:
             self.callers_acknowledge = True
         return self._remove(call) is not None
@@ -172,7 +175,10 @@
         return now - release.sent_at >= RETRY_AFTER
 
     def _best_connection(self, excluded: set[Connection] | None = None) -> Connection | None:
-        """Prefers connections that are read, then those with established calls, then the latest activity."""
+        """Returns the connection that is most likely to reach the caller; None if there is none.
+
+        Prefers connections that are read, then those with established calls, then the latest activity.
+        """
         candidates = [
             ((not state.backpressured, state.call_established, state.last_active), connection)
             for connection, state in self.connections.items()
--- a/softswitch/core/switch.py
+++ b/softswitch/core/switch.py
@@ -208,7 +208,7 @@
     def _release_unknown_to_both(self, call_id: str, cause: int, by_caller: bool) -> None:
         """Handles a release of a call that neither process has; an earlier process may have set it up.
 
-        The peer process takes no further action after passing the release on, so it is handled here.
+        The peer process takes no further action after passing the release on, so this process has to.
         """
         if by_caller:
             passed_on = self._release_at_every_engine(call_id, cause)
@@ -227,9 +227,9 @@
         if self.history:
             self.history.note(call_id, "answer heard", server)
         if call is None or call.server != server:
-            # The answer crossed our cancel, which frees its circuits; or it is a duplicate, or names no call
-            # of this process. No release is sent in reply: otherwise an engine could make the switch write
-            # releases for arbitrary ids.
+            # The answer crossed the cancel of the attempt, which frees the circuits; or it is a duplicate, or
+            # names no call of this process. No release is sent in reply: otherwise an engine could make the
+            # switch write releases for arbitrary ids.
             self.counters[Count.LATE_ANSWERS] += 1
             return
         if call.established:
@@ -252,9 +252,9 @@
         report: Report = (),
         retry_after: float = 0.0,
     ) -> None:
-        """Handles an engine's release: it rejects an attempt or ends an established call.
+        """Handles an engine's release, which rejects an attempt or ends an established call.
 
-        `retry_after`: ms for which an engine with a full processor wants no new calls; 0: not specified.
+        `retry_after`: ms for which an engine with a full processor requests no calls; 0: not specified.
         """
         call = self.calls.get(call_id)
         if self.history:
--- a/softswitch/policy/state.py
+++ b/softswitch/policy/state.py
@@ -1,6 +1,7 @@
 """State of the decision module: the admission gate of each endpoint, and the unanswered calls.
 
-All times are in ms. A *window* is the time constant `State.window`, by which answer delays are smoothed.
+All times are in ms. A *window* is the time constant `State.window`, by which answer delays are smoothed
+and decay.
 """
 
 from math import exp, floor
--- a/softswitch/process/application.py
+++ b/softswitch/process/application.py
@@ -36,14 +36,14 @@
 
 VERSION = "0.1.0"
 CALLS_PER_MB = 200  # limit on calls at once, for each MB of memory that the configuration allows
-DESCRIPTION_BYTES_PER_MB = 1 << 17
-MAX_CONNECTIONS, MIN_CONNECTIONS = 1_000, 16
+DESCRIPTION_BYTES_PER_MB = 1 << 17  # limit on the descriptions of unanswered calls, for each such MB
+MAX_CONNECTIONS, MIN_CONNECTIONS = 1_000, 16  # bounds of the limit on callers' connections
 # File descriptors reserved for engines, the endpoint watch and the process itself: the larger of this number
 # and total / divisor.
 MIN_RESERVED_DESCRIPTORS = 48
 RESERVED_DESCRIPTORS_DIVISOR = 8
 CONTROL_DIVISOR = 4  # the call-control API gets 1 / CONTROL_DIVISOR of the connections
-MANAGEMENT_BACKLOG = 64
+MANAGEMENT_BACKLOG = 64  # connections waiting to be accepted
 # Value of $SOFTSWITCH_HANDOVER for hosts on which listeners cannot be handed over: both processes listen, and
 # the kernel distributes the connections (SO_REUSEPORT).
 REUSEPORT = "reuseport"
@@ -73,14 +73,17 @@
 
 
 class Application:
-    """One softswitch process."""
+    """One softswitch process.
+
+    `tables`: tables of the operator file, which configure the optional components; None: no such file.
+    """
 
     def __init__(self, reactor: Any, configuration: Configuration, tables: Any = None) -> None:
         self.reactor = reactor
         self.configuration = configuration
         self.listen = configuration.listen
         self.failure = ""  # reason if the process ends because it could not serve
-        self._unix_offset = monotonic_ms() - time.time() * 1000.0
+        self._unix_offset = monotonic_ms() - time.time() * 1000.0  # timer clock minus Unix time, in ms
         shared = is_address_shared()
         self._build_switch()
         self._build_listeners(shared)
@@ -160,6 +163,7 @@
         return components
 
     def _to_clock(self, unix_ms: int) -> float:
+        """Converts Unix ms to the clock of the timer wheel; 0 (unknown) stays 0."""
         return unix_ms + self._unix_offset if unix_ms else 0.0
 
     def start(self) -> None:
--- a/softswitch/process/reload.py
+++ b/softswitch/process/reload.py
@@ -20,11 +20,11 @@
 from softswitch.net.engine_pool import EnginePool
 
 FIXED_KEYS = ("name", "listen", "limits")  # keys that a reload cannot change
-MAX_SHOWN_CLASSES = 200  # characters
+MAX_SHOWN_CLASSES = 200  # characters of the class names in the log line
 
 
 class Reloader:
-    """Owns the configuration in force."""
+    """Owns the configuration in force, and replaces it at a reload."""
 
     def __init__(
         self, configuration: Configuration, switch: Switch, engines: EnginePool, watch: EndpointWatch
--- a/softswitch/process/shutdown.py
+++ b/softswitch/process/shutdown.py
@@ -20,13 +20,12 @@
 # 5 s if a successor has taken over; an unknown deadline counts as the maximum.
 MAX_DEADLINE = 3_000.0
 MAX_DEADLINE_REPLACED = 5_000.0
-ANSWER_TIME = 300.0
-# Ms from the end of a stop: for the last writes to engines; for callers to read their answers and disconnect.
-# Answers that a caller has not read yet are kept until UNWRITTEN_UNTIL after the latest end of a stop.
-LAST_WRITES = 50.0
-CALLERS_DISCONNECT_AFTER = 150.0
-UNWRITTEN_UNTIL = 300.0
-CHECK_INTERVAL = 20.0
+ANSWER_TIME = 300.0  # ms after the longest deadline until the stop ends at the latest
+# Ms from the end of a stop to the exit of the process.
+LAST_WRITES = 50.0  # without connected callers: for the last writes to engines
+CALLERS_DISCONNECT_AFTER = 150.0  # for callers to read their answers and disconnect
+UNWRITTEN_UNTIL = 300.0  # from the latest end of a stop; answers not yet read by a caller are kept until then
+CHECK_INTERVAL = 20.0  # ms between two checks whether the stop can end
 # Ms before the end of a stop in which no connection to an engine is opened: releases sent on a connection
 # that is still being opened at the end would be lost.
 NO_ENGINE_CONNECTIONS_BEFORE_END = 200.0
--- a/softswitch/process/ticker.py
+++ b/softswitch/process/ticker.py
@@ -20,7 +20,7 @@
         self.wheel = wheel
         self.counters = counters
         self._due = 0.0  # when the next tick is due
-        self._scheduled: Any = None  # the reactor's call of the next tick
+        self._scheduled: Any = None  # Twisted's delayed call that runs the next tick
         self._may_idle = False  # whether ticks without due timers are skipped
 
     def start(self) -> None:
