--- a/softswitch/__main__.py
+++ b/softswitch/__main__.py
@@ -25,7 +25,7 @@
 from softswitch.process.application import Application
 
 EXIT_BAD_CONFIGURATION = 2
-GC_THRESHOLDS = (10_000, 20, 20)
+GC_THRESHOLDS = (10_000, 20, 20)  # arguments of gc.set_threshold
 LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
 
 
--- a/softswitch/agent.py
+++ b/softswitch/agent.py
@@ -65,7 +65,7 @@
     """The process of one softswitch, monitored by the agent."""
 
     def __init__(self, instance: Instance) -> None:
-        # enabled: the process is to run; restarting: it is to be restarted once it is drained.
+        # enabled: the process has to run. restarting: it has to be started again once it has drained.
         self.instance, self.enabled, self.restarting = instance, True, False
         self.state, self.state_since, self.starts, self.backoff = "waiting", monotonic(), 0, MIN_BACKOFF
         self.kill_timer = self.start_timer = None
--- a/softswitch/lazy_import.py
+++ b/softswitch/lazy_import.py
@@ -8,7 +8,8 @@
 import sys
 from importlib.util import LazyLoader, find_spec, module_from_spec
 
-# Twisted imports it for its HTTP client, which the softswitch does not use. It loads urllib, email and more.
+# Twisted imports http.cookiejar for its HTTP client, which the softswitch does not use. That module loads
+# urllib, email and more.
 UNUSED = ("http.cookiejar",)
 
 
--- a/softswitch/net/call_control.py
+++ b/softswitch/net/call_control.py
@@ -56,8 +56,8 @@
 class PlacedCall:
     """A call that was placed through this API and has not ended."""
 
-    watchers: set[ClientConnection] = field(default_factory=set)
-    last_event: Message = field(default_factory=dict)
+    watchers: set[ClientConnection] = field(default_factory=set)  # connections that receive its events
+    last_event: Message = field(default_factory=dict)  # last event that was sent to the watchers
     established: bool = False
     unwatched_at: float | None = None  # when its last watcher stopped
 
@@ -87,7 +87,7 @@
 
 
 def read_setup(message: Message) -> SetupRequest:
-    """Builds the call setup that a `place` requests; raises ValueError with the reason if it is invalid."""
+    """Builds the call setup that a `place` message requests; raises ValueError with the reason if invalid."""
     try:
         description = b64decode(read_text(message, "description_b64", ""), validate=True)
     except binascii.Error:
@@ -114,8 +114,8 @@
         self.is_accepted = False  # whether the handshake is complete
         self.is_over = False
         self.opened_at = self.last_data_at = server.switch.wheel.now
-        self.pending: set[str] = set()  # its call setups that are not answered yet
-        self.watched: set[str] = set()
+        self.pending: set[str] = set()  # ids of the client's call setups that are not answered yet
+        self.watched: set[str] = set()  # ids of the calls whose events the client receives
         self._backpressured = False
         self._unread = 0  # bytes written since the client stopped reading
         self._text = ""  # received part of an incomplete message
@@ -258,7 +258,7 @@
         self.accepted: dict[ClientConnection, None] = {}
         self.connecting: dict[ClientConnection, None] = {}  # until the next sweep after the handshake
         self.calls: dict[str, PlacedCall] = {}
-        self.ended: OrderedDict[str, Message] = OrderedDict()  # last event by call
+        self.ended: OrderedDict[str, Message] = OrderedDict()  # last event of ended calls, by call id
         self._handlers: dict[str, Callable[[ClientConnection, str, Message], None]] = {
             "place": self._place,
             "watch": self._watch,
--- a/softswitch/net/call_history.py
+++ b/softswitch/net/call_history.py
@@ -13,7 +13,7 @@
 from softswitch.core.call import CALL_ID
 from softswitch.core.call_history import CONNECTIONS, CallHistory
 
-MAX_CALLS_PER_WRITE = 500  # histories encoded in one turn of the event loop, at most
+MAX_CALLS_PER_WRITE = 500  # max histories encoded in one turn of the event loop
 
 
 class CallHistoryComponent:
--- a/softswitch/net/endpoint_watch.py
+++ b/softswitch/net/endpoint_watch.py
@@ -1,6 +1,8 @@
 """Watches the endpoint list: receives numbered events with changes to the list of quote engines.
 
-The server of the watch is the notice board, the key `board` of the configuration.
+The server of the watch is the notice board, the key `board` of the configuration. The number of an event is
+the *revision* of the list that results from it. On each connection, the client first sends the last revision
+that it has applied, and the server sends the events after it.
 """
 
 from __future__ import annotations
@@ -23,8 +25,9 @@
 EVENT_HEADER = Struct(">QB")  # number and type of an event
 NO_CHANGE, COMPLETE, CHANGES = 0, 1, 2  # event types
 MAX_FRAME = 1 << 20  # bytes
-REVISION_SIZE = 8  # bytes
-WEIGHT_UNIT = 1000
+REVISION_SIZE = 8  # bytes of the revision that the client sends
+WEIGHT_UNIT = 1000  # weight in a record of an endpoint of weight 1
+# State of an endpoint, by its code in a record.
 STATES = (i.EndpointState.READY, i.EndpointState.DRAINING, i.EndpointState.REMOVED)
 STATE_NAMES = {
     "active": i.EndpointState.READY,
@@ -62,7 +65,7 @@
 class KnownEvents:
     """The events that a configuration contains."""
 
-    revision: int
+    revision: int  # of the list that results from all of them
     events: list[ListEvent]
 
 
--- a/softswitch/net/engine_codec.py
+++ b/softswitch/net/engine_codec.py
@@ -26,12 +26,12 @@
     """Message types of the protocol. Plain integers, because looking up enum members is too slow."""
 
     SETUP: Final = 1
-    PROGRESS: Final = 6
+    PROGRESS: Final = 6  # ignored
     ANSWER: Final = 9
     RELEASE: Final = 12
     ACKNOWLEDGE: Final = 16
-    STATE: Final = 43
-    PROBE: Final = 52
+    STATE: Final = 43  # sent by engines at a regular interval; a heartbeat with a load report
+    PROBE: Final = 52  # requests the state of the engine
     PROBE_ANSWER: Final = 53
 
 
--- a/softswitch/net/engine_heartbeat.py
+++ b/softswitch/net/engine_heartbeat.py
@@ -1,23 +1,24 @@
 """Heartbeat monitoring of an engine and of the connection to it.
 
-Engines send their state at an interval of their own, which is estimated from its arrivals. A connection that
-misses an interval is probed. After one and a half intervals it is given up and replaced by a new one. The
-module reads no clock: callers pass the time in ms.
+Each engine sends state messages at a regular interval, which is estimated from their arrival times. If
+nothing arrives on a connection for an interval, a probe is sent on it. After one and a half intervals the
+connection is given up and replaced by a new one. The module reads no clock: callers pass the time. All times
+are in ms.
 """
 
 from __future__ import annotations
 
 from enum import Enum, auto
 
-FIRST_INTERVAL = 1_300.0
-MIN_INTERVAL = 300.0
+FIRST_INTERVAL = 1_300.0  # estimate before the first measurement
+MIN_INTERVAL = 300.0  # bounds of a measured interval
 MAX_INTERVAL = 2_000.0
 UNPROBED_INTERVAL = 3_500.0  # first and max interval if probes are not allowed
 # A draining engine sends no state and accepts no calls. Only its established calls matter; if the engine
 # fails, their callers have to be notified within 8 s. Giving up the connection after one and a half of these
 # intervals is early enough.
 DRAINING_INTERVAL = 3_000.0
-SLACK = 75.0
+SLACK = 75.0  # added to an interval before it counts as missed
 ENGINE_TIMEOUT = 6_500.0  # without a sign of life on any connection; then established calls are released
 
 
@@ -46,7 +47,7 @@
         self.state_at = None
 
     def message_received(self, now: float) -> None:
-        """Records data on the connection."""
+        """Records that data was received on the connection."""
         self.connection_active_at = now
         self.engine_active_at = now
 
--- a/softswitch/net/engine_link.py
+++ b/softswitch/net/engine_link.py
@@ -186,8 +186,8 @@
         self._note(CONNECTIONS, "link down")
         for call in in_flight:
             self.switch.attempt_disconnected(self.server, call)
-        # An engine that closed the connection or died knows that it is over. After an abort by this side the
-        # engine may not know, and may write releases to the dead connection.
+        # If the engine closed the connection or died, it sends nothing more on it. After an abort by this
+        # side, the engine may not have detected the end, and may write releases to the dead connection.
         if connection.is_given_up:
             self.missed_releases.connection_given_up()
         self._expire_unacknowledged(now)
@@ -296,7 +296,8 @@
 
     def _write_release(self, release: Release) -> None:
         if release.call in self.in_flight:
-            self.in_flight.discard(release.call)  # the engine drops the attempt too if the connection ends
+            # Not repeated on the next connection: the engine drops the attempts of a connection that ends.
+            self.in_flight.discard(release.call)
         else:
             self.unacknowledged[release.call] = SentRelease(release, self.switch.wheel.now)
         if self.switch.history:
@@ -430,7 +431,7 @@
         if verdict is Verdict.ENGINE_DEAD:
             self._engine_silent(now)
         elif verdict is Verdict.CONNECTION_DEAD and connection is not None:
-            # A connection that stays open but delivers nothing made engines unavailable for seconds.
+            # A connection that stays open but delivers nothing would make its engine unavailable for seconds.
             connection.give_up("silent though tested" if self._may_probe else "silent")
         elif verdict is Verdict.PROBE:
             self.heartbeat.probe_sent(now)
--- a/softswitch/net/handover.py
+++ b/softswitch/net/handover.py
@@ -32,10 +32,10 @@
 from softswitch.core.switch import Switch
 from softswitch.net.sip_server import SipServer
 
-VERSION = 1
+VERSION = 1  # of the channel's messages
 SOCKET_PREFIX = "willowhitch"  # of the Unix sockets' file names, the same in every version
 MAX_SOCKETS_TRIED = 4  # including stale socket files
-MAX_LISTENERS = 4
+MAX_LISTENERS = 4  # listening sockets received on one channel
 MAX_ADDRESS = 107  # bytes in the address of a Unix socket
 MAX_MESSAGE = 1_024  # bytes of one line of the channel
 ANSWER_TIMEOUT = 1.5  # s for the predecessor to hand over
@@ -46,7 +46,7 @@
 # Ms after the end of the peer process until this process uses the complete rate: the last call setups of the
 # peer still count.
 SOLE_PROCESS_DELAY = 1_500.0
-MIN_CONNECTIONS = 16
+MIN_CONNECTIONS = 16  # limit of the successor, however many connections the predecessor still has
 STALE_SOCKET_ERRORS = (errno.ECONNREFUSED, errno.ENOENT)
 
 Address = tuple[str, int]
@@ -210,6 +210,7 @@
             "given": self._listeners_given,
             "holds": self._connections_reported,
             "serving": self._successor_serves,
+            # A release by a caller, a release by an engine, and a release to deliver to a caller.
             "release": self._release_received,
             "cleared": self._release_received,
             "released": self._release_received,
--- a/softswitch/net/listening_connection.py
+++ b/softswitch/net/listening_connection.py
@@ -102,7 +102,7 @@
         self.link.partial_release_received(release)
 
     def message_received(self, message: EngineMessage) -> None:
-        """Acknowledges releases and passes them on. The link's own connection receives the other messages."""
+        """Acknowledges releases and passes them on. The link's main connection handles the other messages."""
         self.link.engine_active()
         if message.type != MessageType.RELEASE:
             return
--- a/softswitch/net/management.py
+++ b/softswitch/net/management.py
@@ -1,6 +1,7 @@
 """The management address for operators: a small HTTP/1.1 API, parsed by h11, one request per connection.
 
-It holds no state of its own: requests read and change the lifecycle, and read the switch's figures.
+It stores no state of the softswitch: requests read and change the lifecycle, and read the switch's figures.
+Optional components add routes for their own paths.
 """
 
 from __future__ import annotations
@@ -188,7 +189,7 @@
                     return _wrong_method(path, component_route.method)
                 return component_route.handler(path[len(prefix) :])
         known_paths = ", ".join((*self.routes, *self.component_routes))
-        return 404, {"error": f"no such call; there are {known_paths}"}
+        return 404, {"error": f"no such path; there are {known_paths}"}
 
     def _ready(self) -> ManagementResponse:
         lifecycle = self.switch.lifecycle
--- a/softswitch/net/release_sender.py
+++ b/softswitch/net/release_sender.py
@@ -24,7 +24,7 @@
         self._review_scheduled = False
 
     def caller_active(self, connection: SipConnection) -> None:
-        """Records that a caller is active on the connection, and sends it the releases that wait for one."""
+        """Records that a caller is active on the connection, and sends the waiting releases on it."""
         was_reachable = self.callers_reachable
         messages = self.queue.caller_active(self.switch.wheel.now, connection)
         if messages:
@@ -49,8 +49,8 @@
     def release(self, call: str, number: str, cause: int, connection: Hashable | None) -> None:
         """Sends the release of an ended call; `connection` is where it was set up.
 
-        Any caller's connection may carry it. If none is open, it goes out on the next one, or is passed to
-        the peer process if callers now connect there.
+        The release may be sent on any caller's connection. If none is open, it is sent on the next one, or
+        passed to the peer process if callers now connect there.
         """
         peer = self.switch.peer_process
         if peer is not None and self._callers_use_successor():
--- a/softswitch/net/sip_calls.py
+++ b/softswitch/net/sip_calls.py
@@ -17,7 +17,7 @@
 
 MAX_PENDING = 1_024  # max call setups pending on one connection
 MAX_PENDING_BEFORE_FIRST_CALL = 64  # the same, before the first call is established there
-LIGHT_PENALTY = 0.25  # for requests that a correct caller may send occasionally
+LIGHT_PENALTY = 0.25  # penalty points for requests that a correct caller may send occasionally
 # Replaces the called number in the BYE of a call that another process set up.
 UNKNOWN_NUMBER = "call"
 ANSWER_CODES = {
@@ -107,7 +107,7 @@
             self.idle_tracker.update_idle(connection)
 
     def _caller_active(self, connection: SipConnection) -> None:
-        """Records that a caller is active: queued releases may go out here.
+        """Records that a caller is active on the connection: queued releases may be sent on it.
 
         The platform's health checks must not count as callers, because they discard releases.
         """
--- a/softswitch/net/sip_codec.py
+++ b/softswitch/net/sip_codec.py
@@ -1,4 +1,9 @@
-"""Parses SIP messages and call setups, and encodes SIP responses and BYE requests."""
+"""Parses SIP messages and call setups, and encodes SIP responses and BYE requests.
+
+An INVITE has the call class in Subject, the ms for which the caller waits in X-Patience, and the tenant in
+Organization. X-Facts (`name:value;...`) has the destination cell (`dest`) and the number of circuits
+(`width`). X-Retry marks a redial. A rejection has the retry-after time in X-Later-Ms.
+"""
 
 from __future__ import annotations
 
--- a/softswitch/net/sip_connection.py
+++ b/softswitch/net/sip_connection.py
@@ -131,7 +131,7 @@
         self.owner.connection_lost(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Called by Twisted, and with no data when a deferred connection resumes."""
+        """Called by Twisted when data is received, and without data when a deferred connection resumes."""
         if self.closing_started_at is not None:
             # Data is still read: closing with unread data sends a reset, which discards the last writes.
             return
@@ -149,6 +149,7 @@
         self._route_calls()
 
     def _record_read(self, size: int) -> None:
+        """Records a read of `size` bytes, and estimates when these bytes arrived (`received_at`)."""
         now, lag = self.wheel.now, self.wheel.lag
         # Whether the data may have waited behind the last full read; else it arrived within the loop's lag.
         waited_behind = self.more_unread and now - self.last_read_at <= lag + TURN_BUDGET
--- a/softswitch/net/sip_connection_table.py
+++ b/softswitch/net/sip_connection_table.py
@@ -15,7 +15,7 @@
 MESSAGE_TIMEOUT = 5_000.0  # max ms from the first to the last byte of a message
 # Ms after which a connection with no pending call may be closed; callers close theirs after 4 s.
 IDLE_TIMEOUT = 6_000.0
-# Idle connections are retained up to this fraction of the maximum: releases need a connection to go out on.
+# Idle connections are retained up to this fraction of the maximum, so that releases can be sent on them.
 IDLE_FRACTION_RETAINED = 0.25
 
 ConnectionTimes = dict[SipConnection, float]  # when each connection entered the state; the oldest first
@@ -92,7 +92,7 @@
             self.closing[connection] = None
 
     def next_to_shed(self, now: float) -> SipConnection | None:
-        """Returns the connection to close first when descriptors run short, so that real callers keep theirs.
+        """Returns the connection to close first when the table is full, so that real callers keep theirs.
 
         The order is: silent connections, connections whose first message has stalled, then idle connections,
         each time the oldest first. A new connection has SILENT_MIN_AGE to send its first request. Connections
--- a/softswitch/net/sip_server.py
+++ b/softswitch/net/sip_server.py
@@ -65,7 +65,7 @@
         return SipConnection(self)
 
     def _shed_one(self) -> bool:
-        """Closes one connection to free its descriptor; False if none can go.
+        """Closes one connection to free its descriptor; False if none can be closed.
 
         A connection that is closing is aborted. Otherwise `next_to_shed` selects one, and its unread data is
         processed first: a call setup may be waiting there.
@@ -271,6 +271,7 @@
             self._close_on_timeout(connection, "silent")
 
     def _close_unless_read(self, connection: SipConnection, reason: str) -> None:
+        """Reads waiting data, and closes the connection for `reason` if there was none."""
         self.connections.untrack(connection)
         if connection.read_pending():
             self._close_on_timeout(connection, reason)
--- a/softswitch/telemetry.py
+++ b/softswitch/telemetry.py
@@ -1,6 +1,6 @@
 """Exports counters and durations over OTLP/HTTP with the `opentelemetry` packages. Off unless configured.
 
-The exporter sends in its own thread; the reactor's thread only counts. It never waits for the collector.
+The exporter sends in its own thread. The reactor's thread only counts, and never waits for the collector.
 While the collector is down, no data is buffered: the values are cumulative, and a failed export is skipped.
 """
 
