--- a/softswitch/agent.py
+++ b/softswitch/agent.py
@@ -67,7 +67,7 @@
     def __init__(self, instance: Instance) -> None:
         # enabled: the process has to run. restarting: it has to be started again once it has drained.
         self.instance, self.enabled, self.restarting = instance, True, False
-        self.state, self.state_since, self.starts, self.backoff = "waiting", monotonic(), 0, MIN_BACKOFF
+        self.state, self.state_changed_at, self.starts, self.backoff = "waiting", monotonic(), 0, MIN_BACKOFF
         self.kill_timer = self.start_timer = None
 
     def start(self) -> None:
@@ -91,7 +91,7 @@
         logger.info("agent: {} started, process {}", self.instance.name, self.transport.pid)
 
     def _set_state(self, state: str) -> None:
-        self.state, self.state_since = state, monotonic()
+        self.state, self.state_changed_at = state, monotonic()
 
     def drain(self, restart: bool = False) -> None:
         """Drains and ends the process, and starts it again if `restart` is set."""
@@ -113,7 +113,7 @@
         if self.state == "running":
             # SIGHUP would end a process that has just started and does not handle the signal yet.
             reactor.callLater(
-                max(0.0, HANDLES_HUP_AFTER - (monotonic() - self.state_since)), self._hup, self.starts
+                max(0.0, HANDLES_HUP_AFTER - (monotonic() - self.state_changed_at)), self._hup, self.starts
             )
 
     def _hup(self, start: int) -> None:
@@ -127,7 +127,7 @@
 
     def processEnded(self, reason: Any) -> None:
         """Twisted callback: the process has exited. Restarts it, unless it was drained without restart."""
-        uptime, drained = monotonic() - self.state_since, self.state == "draining"
+        uptime, drained = monotonic() - self.state_changed_at, self.state == "draining"
         if self.kill_timer is not None:
             self.kill_timer.cancel()
             self.kill_timer = None
@@ -151,7 +151,7 @@
             "state": self.state,
             "pid": pid,
             "starts": self.starts,
-            "seconds": round(monotonic() - self.state_since, 1),
+            "seconds": round(monotonic() - self.state_changed_at, 1),
         }
 
 
