--- a/softswitch/policy/controller.py
+++ b/softswitch/policy/controller.py
@@ -1,8 +1,8 @@
 """Queues calls; sends, retries and cancels attempts; gives up calls: `handle(now, event) -> actions`.
 
-A call is sent only through an open *gate*, the admission gate of one endpoint (`state.Gate`). If no gate is
-open, the call is queued. A *sweep* is a periodic review: of the attempts in flight, which may be stuck, when
-the sweep timer fires; of all queued calls in `_serve_queue`.
+A call is sent through an open *gate*, the admission gate of one endpoint (`state.Gate`), or as a probe
+through a closed one. Otherwise the call is queued. A *sweep* is a periodic review: of the attempts in flight,
+which may be stuck, when the sweep timer fires; of all queued calls in `_serve_queue`.
 """
 
 from softswitch import interface as i
@@ -94,7 +94,7 @@
         self.next_token += 1
         self.queued[call.id] = call
         self.constraints.attempt_wanted(call_class.name, False, call_class.priority_weight)
-        # A call of no higher weight than a queued one waits: `_serve_queue` sends the higher weights first.
+        # Otherwise a queued call of this weight or more found no open gate, and `_serve_queue` decides.
         if call.weight > self.max_blocked_weight:
             self._try(now, call)
         self._stack(now, call)
--- a/softswitch/policy/state.py
+++ b/softswitch/policy/state.py
@@ -131,7 +131,7 @@
         self.gate: Gate | None = None  # of the attempt in flight
         # Answered with an error; counted as failures if another endpoint establishes the call.
         self.failed_gates: list[Gate] = []
-        # may_have_run: an attempt may have run. unsafe: therefore a retry could do harm.
+        # may_have_run: an attempt may have run. unsafe: and the call is not idempotent.
         self.may_have_run = self.unsafe = self.cancelling = False
         self.ready_at, self.give_up_at = now, LONG_AGO  # earliest time of the next attempt; end of queueing
 
