--- a/softswitch/net/management.py
+++ b/softswitch/net/management.py
@@ -189,7 +189,7 @@
                     return _wrong_method(path, component_route.method)
                 return component_route.handler(path[len(prefix) :])
         known_paths = ", ".join((*self.routes, *self.component_routes))
-        return 404, {"error": f"no such path; there are {known_paths}"}
+        return 404, {"error": f"no such call; there are {known_paths}"}
 
     def _ready(self) -> ManagementResponse:
         lifecycle = self.switch.lifecycle
