--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -1,10 +1,32 @@
 """Runs a softswitch process with fake peers, and scenarios in a small language that drive the peers.
 
-A scenario consists of lines `PARTY VERB ARGUMENTS`. Parties: c* SIP connections, w* WebSockets, m* management
-connections, e* quote engines, b and b2 endpoint watch servers, p the softswitch process. Verbs: send, expect
-(a pattern for the next message, or `nothing MS`), close, wait. `p config b2` replaces the watch server in
-the configuration, `p config TEXT` the whole file; both send SIGHUP. Calls are short numbers; `{1}` is
-replaced by the id of call 1.
+A scenario consists of lines `PARTY VERB ARGUMENTS`, which are run in order.
+
+Parties: c* are callers' SIP connections, w* WebSocket clients of the call-control API and m* management
+connections; they connect on first use. e* are quote engines, b and b2 endpoint watch servers; the softswitch
+connects to them, and the name means its newest connection. p is the softswitch process.
+
+Verbs:
+    send ARGUMENTS      sends a message; the `send` method of the party's class describes the arguments.
+                        `p send SIGTERM` sends a signal.
+    expect PATTERN      waits up to 5 s for the party's next message; this regular expression must match it.
+                        `p expect 0` waits until the process exits with status 0.
+    expect nothing MS   requires that the party receives no message within this time.
+    wait MS             lets this time pass, while the messages of all parties are received.
+    close               closes the party's connection.
+    p config b2         replaces the watch server in the configuration and sends SIGHUP; `p config TEXT`
+                        replaces the whole file.
+
+Calls are numbered from 1; `{1}` is replaced by the id of call 1, 16 hexadecimal digits. Received messages are
+compared in this form:
+    SIP                 the lines joined by `|`, then `||` and the body
+    WebSocket           the JSON text, or `closed CODE`
+    management          `200 - BODY`, where `-` is the Allow header if there is one
+    engine              `SET_UP ID CODE=VALUE ..`, by MESSAGE_NAMES and parameter codes: 3 class, 5 ms until
+                        the caller gives up, 11 called number, 17 note, 19 ms without further setups, 21 load
+                        report, 31 cause, 33 description. HEARD acknowledges a release and is only recorded.
+    watch server        `after N`, the request for the events after revision N
+    any                 `end` after the softswitch has closed the connection
 """
 
 import json
@@ -52,10 +74,10 @@
 
 
 def listener(host):
-    s = socket.socket()
-    s.bind((host, 0))
-    s.listen(64)
-    return s
+    sock = socket.socket()
+    sock.bind((host, 0))
+    sock.listen(64)
+    return sock
 
 
 def complete_messages(party, data):
@@ -123,10 +145,10 @@
 
     def send(self, words):
         """Sends `DO 1 KEY=JSON ..`, a message for call 1 with default fields, or `raw TEXT`, unchanged."""
-        kind, _, rest = words.partition(" ")
-        if kind != "raw":
-            message = {"v": 1, "do": kind, "id": call_id(rest.split(" ")[0])}
-            if kind == "place":
+        action, _, rest = words.partition(" ")
+        if action != "raw":
+            message = {"v": 1, "do": action, "id": call_id(rest.split(" ")[0])}
+            if action == "place":
                 message |= {"class": "x", "number": "77", "patience_ms": 3000, "dest": 0}
                 message["description_b64"] = "dj0w"
             message |= {k: json.loads(v) for k, v in (m.split("=", 1) for m in rest.split(" ")[1:])}
@@ -154,7 +176,10 @@
 
 
 class Engine:
-    """A quote engine's end of a connection that the softswitch opened to it."""
+    """A quote engine's end of a connection that the softswitch opened to it.
+
+    Sends `RELEASE 1 31=16`: a message name, a call and parameters by code. A load report is sent on connect.
+    """
 
     def __init__(self, stage, sock):
         self.sock, self.data, self.received, self.numbers = sock, b"", [], {}
@@ -164,20 +189,22 @@
     def feed(self, data):
         self.data += data
         while len(self.data) >= 2 and len(self.data) >= (size := struct.unpack(">H", self.data[:2])[0]) + 2:
-            kind, call, rest = self.data[2], self.data[3:11].hex(), self.data[11 : size + 2]
-            self.data, words = self.data[size + 2 :], [MESSAGE_NAMES[kind], call]
+            message_type, call, rest = self.data[2], self.data[3:11].hex(), self.data[11 : size + 2]
+            self.data, words = self.data[size + 2 :], [MESSAGE_NAMES[message_type], call]
             while rest:
-                code, n = struct.unpack(">BH", rest[:3])
-                value, rest = rest[3 : 3 + n], rest[3 + n :]
+                code, length = struct.unpack(">BH", rest[:3])
+                value, rest = rest[3 : 3 + length], rest[3 + length :]
                 words.append(f"{code}={value[0] if code == 31 else value.decode('latin-1')}")
-            if kind == MESSAGE_TYPES["HEARD"]:
+            if message_type == MESSAGE_TYPES["HEARD"]:
                 self.acknowledged.append(call)
             else:
                 yield " ".join(words)
 
     def send(self, words):
-        kind, n, *more = words.split(" ")
-        message = struct.pack(">B", MESSAGE_TYPES[kind]) + bytes.fromhex(n if len(n) == 16 else call_id(n))
+        message_name, n, *more = words.split(" ")
+        message = struct.pack(">B", MESSAGE_TYPES[message_name]) + bytes.fromhex(
+            n if len(n) == 16 else call_id(n)
+        )
         for code, value in (m.split("=", 1) for m in more):
             value = bytes((int(value),)) if code == "31" else value.encode("latin-1")
             message += struct.pack(">BH", int(code), len(value)) + value
@@ -207,8 +234,8 @@
 
     def send(self, words):
         """Sends `REVISION draining e1`, a change of the endpoint list, or `raw - HEX`, bytes."""
-        rev, state, name = words.split(" ")
-        if rev == "raw":
+        revision, state, name = words.split(" ")
+        if revision == "raw":
             return self.sock.sendall(bytes.fromhex(name))
         n = int(name[1:])
         record = struct.pack(
@@ -223,7 +250,7 @@
             1000,
             0,
         )
-        frame = struct.pack(">QB", int(rev), 2) + record
+        frame = struct.pack(">QB", int(revision), 2) + record
         self.sock.sendall(struct.pack(">I", len(frame)) + frame)
         return None
 
@@ -304,7 +331,7 @@
         return Path(self.log.name).read_text()
 
     def party(self, name, **more):
-        """The party of this name, or None if it has not connected yet. c*, w* and m* connect on first use."""
+        """The party of this name, or None for an e* or b* that the softswitch has not connected to yet."""
         if name not in self.parties and name[0] in "cwm":
             until = time.monotonic() + TIMEOUT
             address = {"c": self.sip, "w": self.web, "m": self.mgmt}[name[0]]
@@ -323,7 +350,10 @@
         return self.parties.get(name)
 
     def pump(self, seconds):
-        """Waits up to this time for data on any socket, and processes it once."""
+        """Waits up to this time for data on any socket, and processes what can be read then.
+
+        Messages are appended to their party's `received`; if `hook` is set, they are passed to it instead.
+        """
         for name in {"b", "b2"} & set(self.parties):
             self.parties[name].send_keepalive()
         open_ = {p.sock: (name, p) for name, p in self.parties.items() if p.sock.fileno() >= 0}
@@ -375,10 +405,12 @@
             elif verb == "close":
                 self.parties.pop(name).sock.close()
             elif name == "p" and verb == "config":  # a watch server, or the text of the whole file
-                board = self.listeners.get(rest) and {
+                watch_server = self.listeners.get(rest) and {
                     "board": format_address(self.listeners[rest].getsockname())
                 }
-                self.config.write_text(json.dumps(self.config_document | board) if board else rest)
+                self.config.write_text(
+                    json.dumps(self.config_document | watch_server) if watch_server else rest
+                )
                 self.program.send_signal(signal.SIGHUP)
             elif name == "p" and verb == "send":
                 self.program.send_signal(getattr(signal, rest))
--- a/tests/test_call_endings.py
+++ b/tests/test_call_endings.py
@@ -1,7 +1,7 @@
 """Races at the end of calls, connections and processes: no answer or release may be lost.
 
-Each unfavourable order of events is forced: peers are held back, the program is paused by SIGSTOP, or setups
-arrive without a pause.
+Each test forces an unfavourable order of events: a peer stops reading or accepting, SIGSTOP pauses the
+program, or setups arrive without a pause.
 """
 
 import signal
@@ -59,7 +59,7 @@
 
 
 def test_setups_until_the_end_of_a_stop_are_answered():
-    # the engine answers nothing; setups arrive every few ms until the program closes the connection
+    # The engine answers nothing; setups arrive every 5 ms until the program closes the connection.
     with Stage(engines=1, settings=SHORT_DEADLINE) as s:
         s.play("c0 send OPTIONS\nc0 expect 200")
         c, sent, received = s.parties.pop("c0").sock, {}, b""
@@ -100,13 +100,13 @@
 
         s.play("c0 send OPTIONS\nc0 expect 200\ne0 wait 50")
         s.hook = answer
-        c = s.parties.pop("c0").sock  # from now on it reads nothing
+        c = s.parties.pop("c0").sock  # from now on this caller reads nothing
         c.setblocking(False)
         for n in range(1, 1_000):
             try:
                 c.sendall(invite(n, patience=3000))
             except BlockingIOError:
-                break  # by now the program does not read from it either
+                break  # by now the program does not read from this connection either
             s.pump(0.002)
             s.pump(0.0)
         for _ in range(20):
@@ -114,7 +114,7 @@
         for call in established:  # then no call is established, so the stop need not wait for one
             s.parties["e0"].send(f"RELEASE {call} 31=16")
         s.program.send_signal(signal.SIGTERM)
-        s.play("e0 wait 1500")  # longer than the stop itself takes; then it reads
+        s.play("e0 wait 1500")  # longer than the stop itself takes; only then does the caller read
         received = read_to_end(c, 5.0)
         missing = [call for call in established if f"Call-ID: {call}".encode() not in received]
         complete = received.count(body.encode())
@@ -126,7 +126,7 @@
         assert s.program.wait(5) == 0
 
 
-def test_a_second_sigterm_and_a_reload_with_another_board_do_not_affect_a_stop():
+def test_a_second_sigterm_and_a_reload_with_another_watch_server_do_not_affect_a_stop():
     with Stage(engines=1) as s:
         s.play(
             "c0 send INVITE 1\ne0 expect SET_UP {1}\np send SIGTERM\np config b2\nb2 expect after 3\n"
@@ -177,25 +177,25 @@
 # the start
 
 
-def unavailable_board(kind):
+def unavailable_watch_server(failure):
     """Returns the address of a watch server that is down, that sends nothing, or that never accepts."""
     listener = socket.socket()
     listener.bind((own_host(), 0))
-    if kind != "down":
+    if failure != "down":
         listener.listen(8)
-    return listener, (fill(listener) if kind == "never accepts" else [])
+    return listener, (fill(listener) if failure == "never accepts" else [])
 
 
-@pytest.mark.parametrize("kind", ["down", "silent", "never accepts"])
-def test_a_start_without_the_watch_server_uses_the_configured_endpoint_list(kind):
-    listener, filling = unavailable_board(kind)
+@pytest.mark.parametrize("failure", ["down", "silent", "never accepts"])
+def test_a_start_without_the_watch_server_uses_the_configured_endpoint_list(failure):
+    listener, backlog = unavailable_watch_server(failure)
     with Stage(engines=1, config={"board": format_address(listener.getsockname())}) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK.*INVITE")
-    for sock in (listener, *filling):
+    for sock in (listener, *backlog):
         sock.close()
 
 
-def test_without_an_endpoint_list_it_is_not_ready_until_the_watch_server_sends_one():
+def test_without_an_endpoint_list_the_softswitch_is_not_ready_until_the_watch_server_sends_one():
     s = Stage(engines=1, config={"known": {"rev": 0, "notices": []}})
     try:
         listener = s.listeners.pop("b")  # the watch server sends nothing yet
@@ -325,7 +325,7 @@
 
 
 @ABANDONMENTS
-def test_abandoned_while_queued_because_no_engine_is_available(abandon):
+def test_a_setup_abandoned_while_no_engine_is_available_is_not_sent(abandon):
     with Stage(engines=1) as s:
         s.play("b expect after 3\nb send 4 draining e0\nc0 wait 50")
         for n in (1, 2, 3):
@@ -338,7 +338,7 @@
 
 
 @ABANDONMENTS
-def test_abandoned_during_the_retry_delay_after_an_attempt(abandon):
+def test_a_call_abandoned_during_its_retry_delay_gets_no_further_attempt(abandon):
     with Stage(engines=2, settings={"family_info": INFO["family_info"] | {"clear_wait": 600.0}}) as s:
         s.play(
             f"c0 send INVITE 1 X-Patience={PATIENCE}\ne0 expect SET_UP {{1}}\n"
@@ -350,7 +350,7 @@
 
 
 def fill(listener):
-    """Fills the backlog of a listener: no further connection opens until one is accepted."""
+    """Fills the backlog of a listener, so that no other connection opens; returns the client sockets."""
     listener.listen(0)
     opened = []
     while True:
@@ -364,43 +364,44 @@
 
 
 @ABANDONMENTS
-def test_abandoned_while_waiting_for_a_connection_that_opens_late(abandon):
+def test_a_setup_abandoned_while_its_engine_connection_opens_is_not_sent(abandon):
     with Stage(engines=1, settings=LONG_CONNECT_TIMEOUT) as s:
         s.play("e0 wait 50")
         listener = s.listeners.pop("e0")
-        filling = fill(listener)
-        s.parties.pop("e0").sock.close()  # the program opens a new one, which does not come up
+        backlog = fill(listener)
+        s.parties.pop("e0").sock.close()  # the program opens a new connection, which is not accepted
         s.play(f"c0 wait 100\nc0 send INVITE 1 X-Patience={PATIENCE}\nc0 send OPTIONS\nc0 expect 200")
         abandon(s, 1)
-        for sock in filling:
+        for sock in backlog:
             listener.accept()[0].close()
             sock.close()
         listener.listen(64)
-        s.listeners["e0"] = listener  # now it accepts; the kernel retries within a second or two
+        s.listeners["e0"] = listener  # now it accepts connections; the kernel retries within a second or two
         s.play("c8 send INVITE 2\ne0 expect SET_UP {2}")
         assert_no_setup(s, "e0", [1])
 
 
 def test_a_call_whose_attempt_was_never_written_is_rejected_at_its_deadline():
-    """The connection does not open, or the engine does not read, until the caller's timeout.
+    """Guards against a failure (500) of a call that no engine can have received.
 
-    The failure: the module has an attempt in flight and cannot know that the setup still waits in the link's
-    queue, so it failed the call. The caller received 'SIP/2.0 500 Server Failure' although the engine's
-    listener had accepted no connection and no byte had been sent to any engine.
+    The connection does not open, or the engine does not read, until the caller's timeout. The decision module
+    has an attempt in flight and cannot know that the setup is still in the link's queue, so it failed the
+    call: the caller received 'SIP/2.0 500 Server Failure' although the engine's listener had accepted no
+    connection and no byte had been sent to any engine. A rejection (503) says that a retry is safe.
     """
     with Stage(engines=1, settings=LONG_CONNECT_TIMEOUT) as s:
         s.play("e0 wait 50")
         listener = s.listeners.pop("e0")
-        filling = fill(listener)
+        backlog = fill(listener)
         s.parties.pop("e0").sock.close()
         s.play("c0 wait 100\nc0 send INVITE 1 X-Patience=700\nc0 expect SIP/2.0 503.*{1}.*X-Later-Ms")
-        for sock in filling:
+        for sock in backlog:
             sock.close()
         listener.close()
 
 
 @pytest.mark.parametrize("abandon", [cancel, close, reset])
-def test_abandoned_while_the_setup_is_unread(abandon):
+def test_a_setup_abandoned_before_it_is_read_is_not_sent(abandon):
     with Stage(engines=1) as s:
         s.play("c0 send OPTIONS\nc0 expect 200\nc1 send OPTIONS\nc1 expect 200")
         with Paused(s):
@@ -414,13 +415,13 @@
         assert_no_setup(s, "e0", [1])
 
 
-def test_abandoned_while_the_rest_of_the_input_is_deferred_to_a_later_turn():
+def test_a_setup_abandoned_while_input_is_deferred_to_a_later_turn_is_not_sent():
     with Stage(engines=1) as s:
         noise = b"NOTIFY sip:a@net SIP/2.0\r\nContent-Length: 0\r\n\r\n" * 300
         crowd(s, 40)
         s.play("c50 send OPTIONS\nc50 expect 200\nc51 send OPTIONS\nc51 expect 200")
         with Paused(s):
-            for k in range(40):  # more than one turn of the event loop processes for callers
+            for k in range(40):  # more input than one turn of the event loop processes for callers
                 s.parties[f"c{k}"].sock.sendall(noise)
             s.play("c50 send INVITE 1\nc50 send CANCEL 1")
             time.sleep(0.3)  # the setup waits this long before it is read
@@ -446,10 +447,10 @@
         c.setblocking(False)
 
         def answer(name, message):
-            kind, call, *_ = message.split()
-            if kind == "SET_UP":
+            message_type, call, *_ = message.split()
+            if message_type == "SET_UP":
                 s.parties["e0"].send(f"ANSWER {call} 33={body}")
-            elif kind == "TEST":
+            elif message_type == "TEST":
                 s.parties["e0"].send("TESTED 0 31=1")
 
         s.hook = answer
@@ -471,7 +472,7 @@
 
 
 def test_a_half_close_of_a_caller_counts_as_a_disconnect():
-    # on the wire, a close and a half close look the same until data is written: no attempt is sent any more
+    # On the wire, a close and a half close look the same until data is written, so both end the call setup.
     with Stage(engines=1) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}")
         s.parties["c0"].sock.shutdown(socket.SHUT_WR)
@@ -481,10 +482,10 @@
 # engines' connections
 
 
-def written_to(sock, pattern):
-    """Waits until these bytes are unread in the socket."""
+def wait_for_bytes(sock, data):
+    """Waits until the softswitch has written these bytes to the socket, and leaves them unread."""
     until = time.monotonic() + 5.0
-    while pattern not in sock.recv(65536, socket.MSG_PEEK):
+    while data not in sock.recv(65536, socket.MSG_PEEK):
         assert time.monotonic() < until
         time.sleep(0.002)
 
@@ -493,15 +494,16 @@
 def test_a_release_lost_by_a_reset_is_sent_again_unless_acknowledged(acknowledged):
     with Stage(engines=1) as s:
         s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK.*INVITE")
-        e = s.parties.pop("e0")  # it reads nothing of what follows
+        e = s.parties.pop("e0")  # from now on this engine reads nothing
         s.play("c0 send BYE 1\nc0 expect 200 OK.*BYE")
-        written_to(e.sock, bytes((12,)) + bytes.fromhex(call_id(1)))
+        wait_for_bytes(e.sock, bytes((12,)) + bytes.fromhex(call_id(1)))
         if acknowledged:
             e.send("HEARD 1")
             s.play("c0 send INVITE 2")
-            written_to(e.sock, bytes((1,)) + bytes.fromhex(call_id(2)))
+            wait_for_bytes(e.sock, bytes((1,)) + bytes.fromhex(call_id(2)))
             e.send("ANSWER 2 33=d")
-            s.play("c0 expect 200 OK.*INVITE")  # it follows the acknowledgement
+            # The softswitch has read the acknowledgement before the answer that it passes on here.
+            s.play("c0 expect 200 OK.*INVITE")
         e.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         e.sock.close()
         if acknowledged:
@@ -517,7 +519,7 @@
         s.parties.pop("e0").sock.close()
         s.play("c0 wait 30\nc0 send INVITE 1\nc0 send INVITE 2")
         started_at = time.monotonic()
-        # Formerly the answer was a 500 at the deadline.
+        # Guards against a 500 at the deadline.
         s.play("c0 expect SIP/2.0 503.*INVITE\nc0 expect SIP/2.0 503.*INVITE")
         assert time.monotonic() - started_at < 2.5
 
@@ -526,12 +528,12 @@
     with Stage(engines=1, settings=LONG_CONNECT_TIMEOUT) as s:
         s.play("e0 wait 50")
         listener = s.listeners.pop("e0")
-        filling = fill(listener)
-        s.parties.pop("e0").sock.close()  # the program opens a new one, which does not come up
+        backlog = fill(listener)
+        s.parties.pop("e0").sock.close()  # the program opens a new connection, which is not accepted
         s.play("c0 wait 100")
         for n in range(10):
-            s.play(f"c0 send INVITE {100_000 + n}")  # these wait for the connection, too
-        for n in range(5_000):  # of calls that the predecessor may have had; 4,096 of them are passed on
+            s.play(f"c0 send INVITE {100_000 + n}")  # these setups wait for the connection, too
+        for n in range(5_000):  # unknown calls, perhaps of a predecessor; 4,096 of the releases are sent
             s.party("c0").send(f"BYE {n}")
             s.pump(0.0)
         s.play("c0 send OPTIONS")
@@ -540,13 +542,14 @@
         s.play("p send SIGUSR1\nc0 wait 100")
         assert '"releases to engines dropped":10,' in s.log_text(), s.log_text()[-500:]
         assert '"heir releases":4096' in s.log_text()
-        for sock in (listener, *filling):
+        for sock in (listener, *backlog):
             sock.close()
 
 
 @pytest.mark.parametrize(("state", "probed"), [("ready", True), ("draining", False)])
 def test_a_draining_engine_without_load_reports_is_not_probed_at_the_report_interval(state, probed):
-    # formerly three in four probes of a day of releases went to engines that had sent their last load report
+    # Guards against needless probes: three in four probes of a day of releases went to engines that had sent
+    # their last load report.
     with Stage(engines=1) as s:
         s.play(
             f"b expect after 3\nc0 send INVITE 1\ne0 expect SET_UP {{1}}\nb send 4 {state} e0\n"
@@ -555,11 +558,12 @@
         started_at = time.monotonic()
         assert (s.next("e0", 2.5) is not None) == probed
         if not probed:
-            s.play("e0 expect TEST\ne0 expect end")  # still in time for its calls
+            # A silent engine is still detected in time to release its calls.
+            s.play("e0 expect TEST\ne0 expect end")
             assert 2.9 < time.monotonic() - started_at < 5.5
             while s.parties["e0"].sock.fileno() < 0:
                 s.pump(0.05)
-            s.play("e0 send RELEASE 1 31=16\nc0 expect BYE.*{1}")  # on the new link
+            s.play("e0 send RELEASE 1 31=16\nc0 expect BYE.*{1}")  # on the new connection
 
 
 def test_an_idle_link_closed_while_a_setup_crosses_costs_one_attempt_and_its_retry_delay():
@@ -567,7 +571,7 @@
         s.play("c0 send OPTIONS\nc0 expect 200\ne0 wait 50")
         e = s.parties.pop("e0")
         s.play("c0 send INVITE 1")
-        written_to(e.sock, bytes((1,)) + bytes.fromhex(call_id(1)))
+        wait_for_bytes(e.sock, bytes((1,)) + bytes.fromhex(call_id(1)))
         e.sock.close()  # with unread data, hence a reset, as if both sides had closed at once
         started_at = time.monotonic()
         s.play("e1 expect SET_UP {1}\ne1 send ANSWER 1 33=d\nc0 expect 200 OK.*INVITE")
@@ -621,16 +625,17 @@
         assert call_id(50) in answers[-1]
 
 
-def board_record(stage, ident, door, state, cell):
-    """Returns an entry of the endpoint list for an engine id at an address of the stage, in hex."""
-    port = stage.listeners[door].getsockname()[1]
+def endpoint_record(stage, engine_id, listener_name, state, cell):
+    """Returns an entry of the endpoint list, in hex: an engine id at the address of a stage's listener."""
+    port = stage.listeners[listener_name].getsockname()[1]
     return struct.pack(
-        ">I4sHBBBHIQ", ident, socket.inet_aton(stage.host), port, state, 0, 0, cell, 1000, 0
+        ">I4sHBBBHIQ", engine_id, socket.inet_aton(stage.host), port, state, 0, 0, cell, 1000, 0
     ).hex()
 
 
-def changes(stage, number, *records):
-    body = struct.pack(">QB", number, 2).hex() + "".join(records)
+def list_changes(stage, revision, *records):
+    """Returns the scenario line that sends an event with these changed entries of the endpoint list."""
+    body = struct.pack(">QB", revision, 2).hex() + "".join(records)
     return f"b send raw - {len(body) // 2:08x}{body}"
 
 
@@ -639,7 +644,7 @@
         s.play(
             "c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK.*INVITE\n"
             "b expect after 3\n"
-            + changes(s, 4, board_record(s, 0, "e0", 2, 0), board_record(s, 7, "e0", 0, 0))
+            + list_changes(s, 4, endpoint_record(s, 0, "e0", 2, 0), endpoint_record(s, 7, "e0", 0, 0))
         )
         s.play("c0 expect BYE.*{1}.*cause=41")  # the call ended with the old engine
         s.play(
@@ -654,12 +659,12 @@
         s.play(
             "b expect after 3\nb send 4 gone e2\ne2 expect end\nc0 send INVITE 1\ne0 expect SET_UP {1}\n"
             "e0 send RELEASE 1 31=41\n"
-            + changes(
+            + list_changes(
                 s,
                 5,
-                board_record(s, 0, "e0", 1, 0),
-                board_record(s, 1, "e1", 2, 1),
-                board_record(s, 8, "e2", 0, 1),
+                endpoint_record(s, 0, "e0", 1, 0),
+                endpoint_record(s, 1, "e1", 2, 1),
+                endpoint_record(s, 8, "e2", 0, 1),
             )
         )
         s.play("e2 expect SET_UP {1}\ne2 send ANSWER 1 33=d\nc0 expect 200 OK")
@@ -673,8 +678,8 @@
 @pytest.mark.parametrize(
     "frame",
     [
-        "b send 6 draining e1",  # 4 and 5 are missing
-        "b send raw - 00000009000000000000000500",  # no new entry, and the last was 5: 4 and 5 are missing
+        "b send 6 draining e1",  # events 4 and 5 are missing
+        "b send raw - 00000009000000000000000500",  # revision 5 without a change: events 4 and 5 are missing
     ],
 )
 def test_missing_updates_are_requested_again_but_only_once(frame):
@@ -685,17 +690,17 @@
             "c0 send INVITE 1\ne0 expect nothing 150\ne1 expect nothing 150"
         )
         assert "events after 3 are missing before" in s.log_text()
-        # the next ones are missing at every request: they are requested once, then taken as nonexistent
+        # Events 6 to 8 are still missing after they have been requested once: they count as nonexistent.
         s.play("b send 9 ready e0\nb expect end\nb expect after 5\nb send 9 ready e0\ne0 expect SET_UP {1}")
 
 
-@pytest.mark.parametrize("begun", ["", "00000024", "0000002400000000000004"])
-def test_a_watch_connection_that_ends_or_is_silent_is_replaced(begun):
+@pytest.mark.parametrize("partial_frame", ["", "00000024", "0000002400000000000004"])
+def test_a_watch_connection_that_ends_or_is_silent_is_replaced(partial_frame):
     with Stage() as s:
         s.play("b expect after 3")
-        board = s.parties.pop("b")
-        board.sock.sendall(bytes.fromhex(begun))
-        board.sock.close()
+        server = s.parties.pop("b")
+        server.sock.sendall(bytes.fromhex(partial_frame))
+        server.sock.close()
         s.play("b expect after 3\nb send 4 gone e0\ne0 expect end")
         s.parties["b"].send_keepalive = lambda: None  # from now on it sends nothing and stays open
         s.play("b expect end\nb expect after 4\nb send 5 gone e1\ne1 expect end")
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -85,24 +85,26 @@
 
     def test_patience_is_kept_and_the_release_wait_too(self):
         with Stage() as s:
-            began = time.monotonic()
+            started_at = time.monotonic()
             s.play("c0 send INVITE 1 X-Patience=700\ne0 expect SET_UP {1}\nc0 expect SIP/2.0 500 ")
-            assert 0.55 < time.monotonic() - began < 0.7
+            assert 0.55 < time.monotonic() - started_at < 0.7
             s.play(
                 "e0 expect RELEASE {1} 31=16\nc0 send INVITE 2 X-Facts=dest:1\n"
                 "e1 expect SET_UP {2}\ne1 send RELEASE 2 31=41"
             )
-            began = time.monotonic()
+            started_at = time.monotonic()
             while s.next("e0", 0.01) is None and s.next("e1", 0.01) is None:
-                assert time.monotonic() - began < 3.0
-            assert time.monotonic() - began > 0.35  # 300 ms in these settings, and 50 more
+                assert time.monotonic() - started_at < 3.0
+            assert (
+                time.monotonic() - started_at > 0.35
+            )  # the retry delay of these settings is 300 ms; 50 ms are added on sockets
 
     def test_the_callers_timeout_counts_from_the_last_byte_although_the_process_was_stopped(self):
         with Stage() as s:
             s.play("c0 send OPTIONS\nc0 expect 200\np send SIGSTOP\nc0 send INVITE 1 X-Patience=900")
-            began = time.monotonic()
+            started_at = time.monotonic()
             s.play("c0 wait 400\np send SIGCONT\nc0 expect SIP/2.0 5")
-            assert time.monotonic() - began < 0.9
+            assert time.monotonic() - started_at < 0.9
 
     def test_a_retransmitted_call_setup_is_not_sent_twice(self):
         self.play("""
@@ -156,7 +158,7 @@
             c0 expect ^BYE .*Call-ID: {1}.*cause=16
             """)
 
-    def test_calls_at_a_dead_engine_are_cut(self):
+    def test_calls_at_a_dead_engine_are_released(self):
         with Stage() as s:
             s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK")
             s.listeners["e0"].close()
@@ -165,13 +167,13 @@
     def test_a_silent_engine_is_probed_and_its_calls_are_released_in_time(self):
         with Stage() as s:
             s.play("c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK")
-            began = time.monotonic()
+            started_at = time.monotonic()
             del s.listeners[
                 "e0"
             ]  # new connections are accepted by the kernel, but nothing is ever sent on them
             s.play("e0 expect TEST")
             while (message := s.next("c0", 1.0)) is None:
-                assert time.monotonic() - began < 8.0
+                assert time.monotonic() - started_at < 8.0
             assert message.startswith("BYE")
             assert "cause=41" in message
 
@@ -181,12 +183,12 @@
                 "c0 send INVITE 1\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc0 expect 200 OK\n"
                 "c0 send INVITE 2 X-Patience=9000\ne0 expect SET_UP {2}"
             )
-            began = time.monotonic()
+            started_at = time.monotonic()
             s.play(
                 "e0 expect TEST\ne0 expect end\ne0 wait 50\ne0 expect SET_UP {2}\ne0 send ANSWER 2 33=d\n"
                 "c0 expect 200 OK\nc0 expect nothing 50"
             )
-            assert time.monotonic() - began < 3.0
+            assert time.monotonic() - started_at < 3.0
 
     def test_a_link_without_its_engines_regular_state_reports_is_reopened_soon(self):
         with Stage(engines=1) as s:
@@ -195,9 +197,11 @@
                 + 15 * "e0 send STATE 0 21=x0:9;x1:9\ne0 wait 300\n"
                 + "c0 send INVITE 1\ne0 expect SET_UP {1}"
             )
-            began = time.monotonic()
+            started_at = time.monotonic()
             s.play("e0 expect TEST\ne0 expect end")
-            assert 0.2 < time.monotonic() - began < 1.0  # without the check of state reports it takes 2 s
+            assert (
+                0.2 < time.monotonic() - started_at < 1.0
+            )  # without the check for missing load reports it takes 2 s
 
     def test_a_closed_caller_connection_abandons_its_call_setups(self):
         self.play("c0 send INVITE 1\ne0 expect SET_UP {1}\nc0 close\ne0 expect RELEASE {1} 31=16")
@@ -234,7 +238,7 @@
 
 
 class Reload(Scenario):
-    """Guards against a SIGHUP that ends the program, and updates from a watch server no longer configured."""
+    """Guards against a SIGHUP that ends the program, and against updates from a replaced watch server."""
 
     def test_the_new_watch_server_continues_the_revisions_and_calls_continue(self):
         log = self.play("""
@@ -342,14 +346,14 @@
     def test_repeating_a_message_as_soon_as_it_is_rejected_closes_the_connection(self):
         for repeated, limit in (("INVITE 1 X-Patience=soon", 17), ("INVITE 1 Subject=strange", 65)):
             with self.subTest(repeated), Stage() as s:
-                got = []
-                while got[-1:] != ["end"] and len(got) <= limit:
+                responses = []
+                while responses[-1:] != ["end"] and len(responses) <= limit:
                     s.party("c0").send(repeated)
-                    got.append(s.next("c0"))
+                    responses.append(s.next("c0"))
                 code = "400" if "soon" in repeated else "503"
-                assert len(got) == limit and all(
-                    response.startswith(f"SIP/2.0 {code}") for response in got[:-1]
-                ), got
+                assert len(responses) == limit and all(
+                    response.startswith(f"SIP/2.0 {code}") for response in responses[:-1]
+                ), responses
 
     def test_too_many_pending_call_setups_on_a_new_connection_are_rejected(self):
         with Stage() as s:
@@ -361,14 +365,14 @@
         with Stage(config={"limits": {"sockets": 64}}) as s:
             s.play("c0 send OPTIONS\nc0 expect 200\nc1 send raw INVITE sip:7@net SIP/2.0\\r\\nVia: a\\r\\n")
             s.party("c2")
-            began = time.monotonic()
+            started_at = time.monotonic()
             s.play("c2 expect end\nc1 expect SIP/2.0 408\nc1 expect end")
-            assert 1.5 < time.monotonic() - began < 3.0
+            assert 1.5 < time.monotonic() - started_at < 3.0
             for n in range(3, 9):  # more idle connections than are retained: the longest idle one is closed
                 s.play(f"c{n} send OPTIONS\nc{n} expect 200")
-            began = time.monotonic()
+            started_at = time.monotonic()
             while (end := s.next("c0", 1.0)) is None:
-                assert time.monotonic() - began < 8.0
+                assert time.monotonic() - started_at < 8.0
             assert end == "end"
             s.play("c8 expect nothing 100")
 
@@ -381,7 +385,7 @@
                 crowd[-1].sendall(b"OPTIONS sip:ping@net SIP/2.0\r\nContent-Length: 0\r\n\r\n")
                 s.pump(0.01)
             s.play("c0 send INVITE 2\ne0 expect SET_UP {2}\ne0 send ANSWER 2 33=d\nc0 expect 200")
-            s.party("c1")  # a new connection beside the crowd has a moment to send its first request
+            s.party("c1")  # a new connection beside the crowd has time to send its first request
             for _ in range(10):
                 crowd.append(socket.create_connection(s.sip))
             s.play("c1 wait 50\nc1 send INVITE 3\ne0 expect SET_UP {3}\ne0 send ANSWER 3 33=d\nc1 expect 200")
@@ -410,11 +414,11 @@
             "fff3" + "00" * 40,
             "3000" + "09" * 30,
             "00",  # a message cut short
-            "000909" + call_field,
-            "00090c" + call_field,
-            "000977" + call_field,  # required fields missing, unknown type
-            "000f09" + call_field + "2100016121000162",
-        ):  # the last one is longer than its length field says
+            "000909" + call_field,  # an answer without its required fields
+            "00090c" + call_field,  # a release without its required fields
+            "000977" + call_field,  # unknown type
+            "000f09" + call_field + "2100016121000162",  # longer than its length field says
+        ):
             with self.subTest(corrupt), Stage() as s:
                 s.play("c0 send INVITE 1\nc0 send INVITE 2\ne0 expect SET_UP {1}\ne0 expect SET_UP {2}")
                 s.party("e0").sock.sendall(bytes.fromhex(corrupt.format(n=1) + valid_answer.format(n="02")))
@@ -498,9 +502,9 @@
                 "c0 send INVITE 1 X-Patience=900\ne0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\n"
                 "c0 expect 200 OK"
             )
-            began = time.monotonic()
+            started_at = time.monotonic()
             s.play("p send SIGTERM\np expect 0")
-            assert time.monotonic() - began < 1.6
+            assert time.monotonic() - started_at < 1.6
 
     def test_the_next_process_releases_the_calls_of_a_killed_one(self):
         with Stage() as s:
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -16,7 +16,7 @@
 }  # pending attempts are not cancelled and resent
 
 
-def figures(stage):
+def fetch_metrics(stage):
     """Returns the current /v1/metrics."""
     stage.parties.pop("m9", None)
     stage.play("m9 send GET /v1/metrics")
@@ -75,14 +75,14 @@
 
 def test_silent_clients_never_block_others_and_are_closed_in_time():
     with Stage() as s:
-        began = time.monotonic()
+        started_at = time.monotonic()
         for n in range(100, 140):  # more than the maximum number of connections
             s.party(f"m{n}")
         s.play(
             "m139 send raw GET /v1/re\nm0 send GET /v1/readyz\nm0 expect 200\nm0 expect end\n"
             "m138 expect 408\nm138 expect end"
         )
-        assert time.monotonic() - began < 4.0
+        assert time.monotonic() - started_at < 4.0
 
 
 def test_a_request_in_single_bytes_is_answered_also_after_the_client_closed_its_sending_side():
@@ -95,8 +95,8 @@
 
 
 def test_an_invalid_management_address_is_reported_in_one_line_with_the_key():
-    for at, env in (("here", None), ("", "127.0.0.1:99999"), ("203.0.113.1:80", None)):
-        stage = Stage(config={"mgmt": at}, env={"BALANCER_MGMT": env} if env else None)
+    for address, env in (("here", None), ("", "127.0.0.1:99999"), ("203.0.113.1:80", None)):
+        stage = Stage(config={"mgmt": address}, env={"BALANCER_MGMT": env} if env else None)
         assert stage.program.wait(10) == 2
         assert stage.log_text().count("\n") == 1 and "mgmt" in stage.log_text(), stage.log_text()
         stage.__exit__()
@@ -145,17 +145,17 @@
             c0 send INVITE 7
             e0 expect SET_UP {7}
             """)
-        metrics = figures(s)
+        metrics = fetch_metrics(s)
         # 3 was not answered in time: failed. 4 is of an unknown class, 5 is invalid. 2 and 6 were abandoned.
         # 7 is pending.
         assert metrics["operations"] == {"x": {"fulfilled": 1, "throttled": 0, "faulted": 1}}
         assert (metrics["relayed"], metrics["open_requests"], metrics["registry_entries"]) == (5, 1, 1)
 
 
-def test_a_draining_engine_is_listed_and_avoided():
+def test_metrics_count_a_draining_engine_as_listed_and_out_of_rotation():
     with Stage() as s:
         s.play("b expect after 3\nb send 4 draining e0\nb wait 100")
-        assert (figures(s)["registry_entries"], figures(s)["out_of_rotation"]) == (2, 1)
+        assert (fetch_metrics(s)["registry_entries"], fetch_metrics(s)["out_of_rotation"]) == (2, 1)
 
 
 def test_a_drain_serves_late_call_setups_and_then_closes_connections_as_they_become_idle():
@@ -208,6 +208,7 @@
         s.play("c4 expect nothing 100")
 
 
+# A call class, in the form of the settings.
 LANE = {"name": "x", "aim": 1500.0, "credit": 1.0, "late_value": 0.25, "hard_limit": 9000.0}
 
 
@@ -216,14 +217,14 @@
 
     Returns how many configurations were accepted and rejected.
     """
-    before = figures(stage)
+    before = fetch_metrics(stage)
     stage.play("p config " + json.dumps(stage.config_document | {"settings": settings}))
     until = time.monotonic() + 3
-    while (now := figures(stage))["cfg_accepted"] + now["cfg_invalid"] == before["cfg_accepted"] + before[
-        "cfg_invalid"
-    ]:
+    while (after := fetch_metrics(stage))["cfg_accepted"] + after["cfg_invalid"] == before[
+        "cfg_accepted"
+    ] + before["cfg_invalid"]:
         assert time.monotonic() < until, stage.log_text()
-    return now["cfg_accepted"] - before["cfg_accepted"], now["cfg_invalid"] - before["cfg_invalid"]
+    return after["cfg_accepted"] - before["cfg_accepted"], after["cfg_invalid"] - before["cfg_invalid"]
 
 
 def test_classes_are_added_and_removed_at_a_reload_and_a_call_keeps_its_class():
@@ -244,7 +245,7 @@
             e0 send ANSWER 1 33=d
             c0 expect 200 .*Call-ID: {1}
             """)
-        assert figures(s)["operations"] == {
+        assert fetch_metrics(s)["operations"] == {
             "x": {"fulfilled": 1, "throttled": 1, "faulted": 0},
             "y": {"fulfilled": 1, "throttled": 0, "faulted": 0},
         }
@@ -280,7 +281,7 @@
 
 def test_invalid_settings_change_nothing_and_the_log_line_names_the_key():
     lanes, limits = [LANE], INFO["limits"]
-    bad = {
+    invalid_settings = {
         "settings.lanes[0].hard_limit: 'soon'": {"lanes": [LANE | {"hard_limit": "soon"}]},
         "settings.lanes[0].hard_limit: 0": {"lanes": [LANE | {"hard_limit": 0}]},
         "settings.lanes[0].hard_limit: -1": {"lanes": [LANE | {"hard_limit": -1}]},
@@ -297,7 +298,7 @@
         "settings.rules.cold_from: 2": {"rules": INFO["rules"] | {"cold_from": 2}},
     }
     # In two halves: the log rate limit allows ten lines of one place in ten seconds.
-    for half in (list(bad.items())[:6], list(bad.items())[6:]):
+    for half in (list(invalid_settings.items())[:6], list(invalid_settings.items())[6:]):
         with Stage(engines=1) as s:
             for line, change in half:
                 assert reload_settings(s, INFO | {"lanes": lanes} | change) == (0, 1), line
@@ -319,11 +320,11 @@
         ]
         for n, text in enumerate(texts):
             s.play(f"p config {text}\np wait 80")
-            assert figures(s)["cfg_invalid"] == n + 1, (text[:60], s.log_text())
+            assert fetch_metrics(s)["cfg_invalid"] == n + 1, (text[:60], s.log_text())
         s.play(
             "b send 4 draining e0\nb wait 50\nc0 send INVITE 1\nc0 expect SIP/2.0 503\nb expect nothing 50"
         )
-        assert figures(s)["cfg_accepted"] == 0
+        assert fetch_metrics(s)["cfg_accepted"] == 0
 
 
 def test_two_reloads_at_once_while_drained_do_not_change_the_phase():
@@ -333,7 +334,7 @@
             "m1 send GET /v1/readyz\nm1 expect 503 .*drained\nm2 send POST /v1/softswitch/activate\n"
             "m2 expect 200\nc0 send INVITE 1\ne0 expect SET_UP {1}"
         )
-        assert 1 <= figures(s)["cfg_accepted"] <= 2
+        assert 1 <= fetch_metrics(s)["cfg_accepted"] <= 2
 
 
 def test_sigterm_while_drained_completes_calls_and_rejects_activate():
@@ -356,7 +357,11 @@
 
 
 class ReplacementStage(Stage):
-    """A second process replaces the first and has a management address of its own."""
+    """A stage on which a second process replaces the first; each has a management address of its own.
+
+    Both use a TMPDIR in the stage's directory, for the socket of the handover. That directory exists only
+    once the stage has started a process, so that process is killed and another is started with this TMPDIR.
+    """
 
     def __init__(self, subdirectory="", **more):
         super().__init__(env={"TMPDIR": ""}, **more)
@@ -368,6 +373,7 @@
         self.old = self.start()
 
     def replace(self):
+        """Starts the process that replaces the old one, with a new management address; returns it."""
         spare = socket.socket()
         spare.bind((self.host, 0))
         self.mgmt_old, self.mgmt = self.mgmt, spare.getsockname()
@@ -409,11 +415,11 @@
             assert time.monotonic() < until, self.log_text()
             self.pump(0.02)
 
-    def __exit__(self, *of):
+    def __exit__(self, *_):
         for process in (self.old, self.program):
             process.kill()
             process.wait()
-        super().__exit__(*of)
+        super().__exit__(*_)
 
 
 def test_the_successor_takes_over_and_releases_reach_calls_of_both_processes():
@@ -462,7 +468,7 @@
             e1 send RELEASE 3 31=16
             c1 expect ^BYE .*Call-ID: {3}
             """)
-        assert s.old.wait(2) == 0  # before the deadline: it has no calls or callers any more
+        assert s.old.wait(2) == 0  # before the deadline: the process has no calls or callers any more
         s.play("c2 send INVITE 7\ne2 expect SET_UP {7}")
 
 
@@ -553,10 +559,10 @@
         s.play("e1 send RELEASE 1 31=16")
         s.rename_new_link()
         s.old.kill()
-        killed = time.monotonic()
+        killed_at = time.monotonic()
         s.play("e0 send RELEASE 1 31=16\nc1 expect ^BYE .*Call-ID: {1}")
         assert (
-            time.monotonic() - killed < 1.0
+            time.monotonic() - killed_at < 1.0
         )  # after that, the new process would reopen its silent connection anyway
 
 
@@ -564,7 +570,7 @@
     # Counts connections that are refused, reset or closed without an answer; clients connect without pause.
     with ReplacementStage() as s:
         new, lost, count = s.replace(), 0, 0
-        until, termed = time.monotonic() + 4.0, False
+        until, sigterm_sent = time.monotonic() + 4.0, False
         while time.monotonic() < until:
             try:
                 with socket.create_connection(s.sip, 2) as c:
@@ -574,10 +580,10 @@
             except OSError:
                 lost += 1
             count += 1
-            if not termed and "the next process takes the callers" in s.log_text():
+            if not sigterm_sent and "the next process takes the callers" in s.log_text():
                 s.old.send_signal(signal.SIGTERM)
-                termed = True
-        assert termed
+                sigterm_sent = True
+        assert sigterm_sent
         assert s.old.wait(5) == 0
         assert new.poll() is None
         assert count > 200 and lost == 0, (lost, count)
@@ -629,17 +635,19 @@
 
 
 def test_a_first_message_may_take_over_two_seconds_while_its_data_keeps_coming():
-    # The other connections are silent or stop half-way, and no descriptor is free.
+    # The other connections send nothing or half a message, and no descriptor is free.
     with Stage(engines=1, config={"limits": {"sockets": 64, "memory_mb": 64}}) as s:
         slow, text = s.party("c1").sock, INVITE.format(1).encode()
-        crowd, began = [], time.monotonic()
+        crowd, started_at = [], time.monotonic()
         for n in range(0, len(text), 6):
             slow.sendall(text[n : n + 6])
             if n % 12 == 0:
                 crowd.append(socket.create_connection(s.sip))
                 crowd[-1].sendall(b"INVITE sip:7@net SIP/2.0\r\nVia" if n % 24 else b"")
-            s.play("e0 send STATE 0 21=x0:9;x1:9\nc1 wait 90")  # a link without state reports is closed
-        assert time.monotonic() - began > 2.2
+            s.play(
+                "e0 send STATE 0 21=x0:9;x1:9\nc1 wait 90"
+            )  # an engine connection without load reports is closed
+        assert time.monotonic() - started_at > 2.2
         assert len(crowd) > 12
         s.play("e0 expect SET_UP {1}\ne0 send ANSWER 1 33=d\nc1 expect 200 .*Call-ID: {1}")
         for other in crowd:
@@ -648,12 +656,12 @@
 
 def test_a_stalled_first_message_is_answered_408_within_three_seconds():
     with Stage() as s:
-        began = time.monotonic()
+        started_at = time.monotonic()
         s.play("c0 send raw INVITE sip:7@net SIP/2.0\\r\\nVia: x\nc0 expect SIP/2.0 408\nc0 expect end")
-        assert 1.9 < time.monotonic() - began < 3.0
+        assert 1.9 < time.monotonic() - started_at < 3.0
 
 
-def test_single_bytes_on_every_connection():
+def test_single_bytes_are_read_on_every_type_of_connection():
     def trickle(party, data, pause=0.004):
         for n in range(len(data)):
             party.sock.sendall(data[n : n + 1])
@@ -691,7 +699,9 @@
         answer = struct.pack(">B", 9) + bytes.fromhex(f"{1:016x}") + struct.pack(">BH", 33, 200) + 200 * b"d"
         for byte in struct.pack(">H", len(answer)) + answer:
             s.party("e0").sock.sendall(bytes((byte,)))
-            time.sleep(0.012)  # 2.5 s in all; 2.1 s without a complete message used to count as silence
+            time.sleep(
+                0.012
+            )  # 2.5 s in all; guards against a link closed after 2.1 s without a complete message
         s.play("c0 expect 200 .*d{200,200}$")
         assert (
             "connection closed" not in s.log_text()
