--- a/tests/test_admission_gate.py
+++ b/tests/test_admission_gate.py
@@ -73,7 +73,7 @@
     gap = 8000.0 * 4 / 500
     assert sent_attempts(call(c, 25.0 + 2 * gap, "z", dest=0)) == [
         i.SendAttempt("z", "a")
-    ]  # it holds no call yet
+    ]  # a has no call of this softswitch yet
 
 
 def test_the_random_choice_prefers_fewer_unanswered_call_setups():
@@ -116,8 +116,8 @@
     gate.closed_until = 100.0
     call(c, 10.0, "redial", redial=True)
     call(c, 20.0, "fresh")
-    out = sent_attempts(c.handle(130.0, i.TimerFired(0)))
-    assert [a.call for a in out] == ["fresh", "redial"]
+    attempts = sent_attempts(c.handle(130.0, i.TimerFired(0)))
+    assert [a.call for a in attempts] == ["fresh", "redial"]
 
 
 def test_the_class_of_highest_weight_is_served_best_under_overload():
@@ -173,7 +173,7 @@
 
 
 def test_invalid_settings_are_rejected():
-    for bad in (
+    for changes in (
         dict(classes=()),
         dict(fleet_size=0),
         dict(initial_capacity=0.0),
@@ -181,7 +181,7 @@
         dict(classes=(i.CallClass("x", latency_objective=0.0),)),
     ):
         with pytest.raises(ValueError, match="settings"):
-            settings(**bad)
+            settings(**changes)
 
 
 def test_an_overtaken_call_setup_counts_as_lost_not_as_delay_and_is_sent_again():
@@ -265,7 +265,7 @@
     assert sent_attempts(call(c, 2002.0, "next", dest=1)) == [i.SendAttempt("next", "b")]
 
 
-def test_a_gate_forgets_delays_faster_if_the_objectives_are_short():
+def test_the_delay_of_a_gate_decays_faster_if_the_objectives_are_short():
     # Guards against a past overload that keeps gates closed for several times the objective.
     short_classes = tuple(
         i.CallClass(
@@ -295,8 +295,10 @@
         sent += sent_attempts(c.handle(float(t), i.TimerFired(0)) + call(c, float(t), f"y{t}"))
         for a in sent[-1:]:
             answer(c, float(t), a.call, "a")
-    share = 2.0 * 1.25 * 400 / 8.0 / 4  # calls in two seconds, by the circuits in use, plus a quarter
-    assert 0.5 * share <= len(sent) <= share + 3
+    expected = (
+        2.0 * 1.25 * 400 / 8.0 / 4
+    )  # calls in 2 s, by the circuits in use, plus a quarter; a fourth for this softswitch
+    assert 0.5 * expected <= len(sent) <= expected + 3
 
 
 def test_probes_of_a_large_fleet_stay_a_small_fraction_of_the_capacity_of_an_endpoint():
@@ -323,7 +325,9 @@
         sent += sent_attempts(actions + call(c, float(t), f"y{t}"))
         for a in sent[-1:]:
             answer(c, float(t), a.call, "a")
-    assert 1 <= len(sent) <= 10 * 500 / 8.0 / 250 + 2  # as calls end; a 250th for this softswitch
+    assert (
+        1 <= len(sent) <= 10 * 500 / 8.0 / 250 + 2
+    )  # the calls that end in 10 s; a 250th for this softswitch
 
 
 def test_load_reports_limit_the_wait_and_are_optional():
@@ -365,7 +369,7 @@
     assert not c.gates["far"].is_open(now + 200.0, 47.0)  # unanswered for too long by now
 
 
-def test_a_long_fastest_answer_shows_load_and_no_distance():
+def test_a_long_fastest_answer_is_attributed_to_load_and_not_to_distance():
     """An endpoint that is overloaded from the first call on answers each call late."""
     c = start_controller(("a",))
     gate = c.gates["a"]
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -44,18 +44,18 @@
 ADDRESSES = tuple(address_of(n) for n in range(20))
 
 
-def plan(members=6, voters=3, whole=60, floor=1, **more):
+def plan(members=6, voters=3, total=60, floor=1, **more):
     return Plan(
-        (Budget("quotes", "set-ups", whole, floor, 1000.0),), ADDRESSES[:members], ADDRESSES[:voters], **more
+        (Budget("quotes", "set-ups", total, floor, 1000.0),), ADDRESSES[:members], ADDRESSES[:voters], **more
     )
 
 
 @given(st.integers(0, 500), st.lists(st.tuples(st.integers(0, 100), st.floats(0.1, 10)), max_size=12))
-def test_division_is_limited_by_total_and_needs_and_leaves_no_usable_slot(whole, requested):
+def test_division_is_limited_by_total_and_needs_and_leaves_no_usable_slot(total, requested):
     needs, weights = [n for n, _ in requested], [w for _, w in requested]
-    parts = divide(whole, needs, weights)
+    parts = divide(total, needs, weights)
     assert all(0 <= p <= n for p, n in zip(parts, needs, strict=True))
-    assert sum(parts) == min(whole, sum(needs))
+    assert sum(parts) == min(total, sum(needs))
     # Max-min: a need that is not met has, relative to its weight, at least as much as any other, within a
     # slot.
     for p, n, w in zip(parts, needs, weights, strict=True):
@@ -88,9 +88,9 @@
         PlanError, match="quotes: the floors of 6 members sum to 66 slots, more than the total of 60"
     ):
         plan(floor=11)
-    for wrong in ({"voters": 0}, {"drift": 0.5}):
+    for changes in ({"voters": 0}, {"drift": 0.5}):
         with pytest.raises(PlanError):
-            plan(**wrong)
+            plan(**changes)
     with pytest.raises(PlanError, match="`what` is one of"):
         Budget("x", "calls", 5)
     with pytest.raises(PlanError, match="twice"):
@@ -114,55 +114,56 @@
 
 
 def test_spending_admits_up_to_the_held_slots_and_reports_when_it_opens():
-    p = ManualClockSpending(Budget("a", "set-ups", 60, 0, 1000.0, "x"))
-    assert [p.spending.admit("x", 1.0) for _ in range(3)] == [0, 0, 0]
-    assert p.spending.admit("y", 1.0) == 0  # not limited
-    wait = p.spending.admit("x", 1.0)
+    clocked = ManualClockSpending(Budget("a", "set-ups", 60, 0, 1000.0, "x"))
+    assert [clocked.spending.admit("x", 1.0) for _ in range(3)] == [0, 0, 0]
+    assert clocked.spending.admit("y", 1.0) == 0  # not limited
+    wait = clocked.spending.admit("x", 1.0)
     assert 0 < wait <= 1000.0 * (1 + 1 / CELLS)
-    p.now += wait
-    assert p.spending.admit("x", 1.0) == 0
-    told = p.spending.report()["a"]
-    assert (told["wanted"], told["spent"], told["refused"]) == (5, 4, 1)
+    clocked.now += wait
+    assert clocked.spending.admit("x", 1.0) == 0
+    report = clocked.spending.report()["a"]
+    assert (report["wanted"], report["spent"], report["refused"]) == (5, 4, 1)
 
 
 def test_spending_counts_retries_separately_and_engines_by_name():
-    p = ManualClockSpending(
+    clocked = ManualClockSpending(
         Budget("again", "repeats", 60, 0, 1000.0), Budget("e", "set-ups", 9, 0, 1000.0, "", "s-1"), held=1
     )
-    assert p.spending.may_attempt("x", "s-1", False)
-    assert p.spending.may_attempt("x", "s-2", True)
-    p.spending.attempt_sent("x", "s-1", False)
-    assert not p.spending.may_attempt("x", "s-1", False)
-    assert p.spending.may_attempt("x", "s-2", False)
-    p.spending.attempt_sent("x", "s-2", True)
-    assert not p.spending.may_attempt("x", "s-3", True)
-    assert p.spending.may_attempt("x", "s-3", False)
+    assert clocked.spending.may_attempt("x", "s-1", False)
+    assert clocked.spending.may_attempt("x", "s-2", True)
+    clocked.spending.attempt_sent("x", "s-1", False)
+    assert not clocked.spending.may_attempt("x", "s-1", False)
+    assert clocked.spending.may_attempt("x", "s-2", False)
+    clocked.spending.attempt_sent("x", "s-2", True)
+    assert not clocked.spending.may_attempt("x", "s-3", True)
+    assert clocked.spending.may_attempt("x", "s-3", False)
 
 
 def test_the_need_of_a_share_is_weighted_by_the_load():
-    p = ManualClockSpending(Budget("cold", "cold", SHARE_SLOTS, 10, 1000.0), held=250)
-    assert p.spending.share("cold", "s-1", 9.0) == 0.25
-    assert p.spending.share("probes", "s-1", 9.0) == 9.0
-    assert p.spending.needs()["cold"].slots == 0
+    busy = ManualClockSpending(Budget("cold", "cold", SHARE_SLOTS, 10, 1000.0), held=250)
+    assert busy.spending.share("cold", "s-1", 9.0) == 0.25
+    assert busy.spending.share("probes", "s-1", 9.0) == 9.0
+    assert busy.spending.needs()["cold"].slots == 0
     for _ in range(50):
-        p.spending.admit("x", 1.0)
+        busy.spending.admit("x", 1.0)
     quiet = ManualClockSpending(Budget("cold", "cold", SHARE_SLOTS, 10, 1000.0))
     for _ in range(5):
         quiet.spending.admit("x", 1.0)
-    cold = p.spending.needs()["cold"]
-    assert cold.slots == SHARE_SLOTS
-    assert cold.weight > 5 * quiet.spending.needs()["cold"].weight
+    busy_need = busy.spending.needs()["cold"]
+    assert busy_need.slots == SHARE_SLOTS
+    assert busy_need.weight > 5 * quiet.spending.needs()["cold"].weight
 
 
-# on virtual time
+# simulated fleets on virtual time
 
 
-def wrong(seed):
+def violation_of(seed):
+    """Returns what a generated schedule violates, or a false value."""
     return bench.run_schedule(seed)[1]
 
 
 def test_generated_schedules_stay_within_all_totals_and_settle():
-    assert not {seed: why for seed in range(6) if (why := wrong(seed))}
+    assert not {seed: violation for seed in range(6) if (violation := violation_of(seed))}
 
 
 def test_a_seed_replays_exactly():
@@ -170,21 +171,21 @@
         Fault(at_s=3.0, what="kill", who=("n1",), for_s=2.0),
         Fault(at_s=8.0, what="lose", who=("all",), other=("all",), share=0.2, for_s=4.0),
     ]
-    ran = [run_simulation(plan(), 6, 2, 20.0, 7, faults) for _ in range(2)]
-    assert ran[0] == ran[1]
-    assert ran[0].settled
-    assert not ran[0].violation
+    results = [run_simulation(plan(), 6, 2, 20.0, 7, faults) for _ in range(2)]
+    assert results[0] == results[1]
+    assert results[0].settled
+    assert not results[0].violation
 
 
 def test_division_by_the_number_of_visible_members_exceeds_the_total_in_a_partition():
     faults = [Fault(at_s=6.0, what="cut", who=("site:a",), for_s=10.0)]
-    over = run_simulation(
+    steps_over_total = run_simulation(
         plan(), 6, 2, 20.0, 1, faults, make=bench.CountingClient, strict=False
     ).steps_over_total
-    kept = run_simulation(plan(), 6, 2, 20.0, 1, faults, demand=uniform_demand(20.0))
-    assert over > 0
-    assert not kept.violation
-    assert kept.usage["quotes"].max_spent <= 60
+    with_leases = run_simulation(plan(), 6, 2, 20.0, 1, faults, demand=uniform_demand(20.0))
+    assert steps_over_total > 0
+    assert not with_leases.violation
+    assert with_leases.usage["quotes"].max_spent <= 60
 
 
 @pytest.mark.parametrize(
@@ -199,13 +200,13 @@
 def test_an_injected_fault_is_detected(name):
     undo = bench.injected_faults()[name]()
     try:
-        assert any(wrong(seed) for seed in range(40))
+        assert any(violation_of(seed) for seed in range(40))
     finally:
         undo()
 
 
-def held(world):
-    return {n.name: n.client.held(n.clock(), "quotes") for n in world.nodes.values() if n.up}
+def held_slots(simulation):
+    return {n.name: n.client.held(n.clock(), "quotes") for n in simulation.nodes.values() if n.up}
 
 
 def test_slots_follow_the_load_and_an_isolated_member_falls_back_to_its_floor():
@@ -213,21 +214,21 @@
         return 40.0 if node == ("n4" if now < 20_000 else "n5") else 1.0
 
     faults = [Fault(at_s=30.0, what="cut", who=("n5",), for_s=10.0)]
-    world = BudgetSimulation(plan(), 6, 2, 3, faults, demand=demand)
-    world.run(19_000)
-    assert held(world)["n4"] > 30
-    world.run(29_000)
-    assert held(world)["n5"] > 30 > held(world)["n4"]
-    world.run(30_000 + plan().lease * 1.02)
-    assert held(world)["n5"] == 1
-    world.run(50_000)
-    assert held(world)["n5"] > 30
-    assert world.settled()
+    simulation = BudgetSimulation(plan(), 6, 2, 3, faults, demand=demand)
+    simulation.run(19_000)
+    assert held_slots(simulation)["n4"] > 30
+    simulation.run(29_000)
+    assert held_slots(simulation)["n5"] > 30 > held_slots(simulation)["n4"]
+    simulation.run(30_000 + plan().lease * 1.02)
+    assert held_slots(simulation)["n5"] == 1
+    simulation.run(50_000)
+    assert held_slots(simulation)["n5"] > 30
+    assert simulation.settled()
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_a_new_member_gets_slots_soon_and_slots_of_a_dead_member_are_reused(seed):
-    world = BudgetSimulation(
+    simulation = BudgetSimulation(
         plan(members=12),
         8,
         2,
@@ -236,42 +237,44 @@
         demand=lambda now, node, budget: 20.0 if node in ("n5", "n7") else 2.0,
         join_at={"n7": 12_000.0},
     )
-    # Its need is visible after about 1 s. Others get smaller grants within a renewal interval, the slots that
-    # they give up cool down for a window, and it requests again each RENEW_SOON.
-    world.run(12_000 + 1_000 + plan().renew_interval * 1.1 + 1_010 + 350)
-    before = held(world)["n7"]
+    # The need of n7 is visible after about 1 s. Others get smaller grants within a renewal interval, the
+    # slots that they give up cool down for a window, and n7 requests again each RENEW_SOON.
+    simulation.run(12_000 + 1_000 + plan().renew_interval * 1.1 + 1_010 + 350)
+    before = held_slots(simulation)["n7"]
     assert before >= 7
-    world.run(20_000 + plan().lease_bound + 1_000 * 1.02 + 2_500)
-    assert held(world)["n7"] >= before + 4
+    simulation.run(20_000 + plan().lease_bound + 1_000 * 1.02 + 2_500)
+    assert held_slots(simulation)["n7"] >= before + 4
 
 
 def test_a_total_lowered_in_one_file_applies_to_all_within_a_lease():
-    lower = plan(whole=30)
-    world = BudgetSimulation(plan(), 6, 2, 3, demand=uniform_demand(20.0), plans=[(10_000.0, "n4", lower)])
-    world.run(10_000)
-    assert world.held("quotes") > 50
-    world.run(10_000 + plan().lease_bound)
-    world.totals["quotes"] = 30
-    world.run(25_000)
-    assert 20 < world.held("quotes") <= 30
-    assert any("total lowered" in said for _, said in world.log)
+    lower_plan = plan(total=30)
+    simulation = BudgetSimulation(
+        plan(), 6, 2, 3, demand=uniform_demand(20.0), plans=[(10_000.0, "n4", lower_plan)]
+    )
+    simulation.run(10_000)
+    assert simulation.held("quotes") > 50
+    simulation.run(10_000 + plan().lease_bound)
+    simulation.totals["quotes"] = 30
+    simulation.run(25_000)
+    assert 20 < simulation.held("quotes") <= 30
+    assert any("total lowered" in text for _, text in simulation.log)
 
 
 def test_an_allocator_that_leaves_is_replaced_before_any_lease_expires():
-    world = BudgetSimulation(plan(), 6, 2, 3, demand=uniform_demand(20.0))
-    world.run(11_900)
-    first = next(n.name for n in world.nodes.values() if n.client.allocator.is_leader(n.clock()))
+    simulation = BudgetSimulation(plan(), 6, 2, 3, demand=uniform_demand(20.0))
+    simulation.run(11_900)
+    first = next(n.name for n in simulation.nodes.values() if n.client.allocator.is_leader(n.clock()))
     faults = [Fault(at_s=12.0, what="leave", who=(first,))]
-    world = BudgetSimulation(plan(), 6, 2, 3, faults, demand=uniform_demand(20.0))
-    world.run(30_000)
-    assert world.settled()
-    assert world.elections >= 2
-    assert world.lapses == 0
+    simulation = BudgetSimulation(plan(), 6, 2, 3, faults, demand=uniform_demand(20.0))
+    simulation.run(30_000)
+    assert simulation.settled()
+    assert simulation.elections >= 2
+    assert simulation.lapses == 0
 
 
 def test_a_promise_request_with_another_list_of_voters_is_denied():
     a, b = (LeaseClient(plan(voters=v), ADDRESSES[n], 1, 1, 0.0) for n, v in ((1, 2), (0, 3)))
-    (requested,) = {act.message for act in _tick_until_requested(b)}
+    (requested,) = {action.message for action in _tick_until_requested(b)}
     answer = a.message_received(20_000.0, requested)
     assert "another list of voters" in answer[0].message.why
 
@@ -288,12 +291,12 @@
 # single roles: cases that are rare in generated schedules
 
 
-def elected(made=None, now=10_000.0):
+def elected_allocator(allocator_plan=None, now=10_000.0):
     """Returns an allocator that has just been elected, and the time."""
-    made = made or plan(voters=1)
-    allocator = Allocator(made, ADDRESSES[0], 1, Random(1), now)
-    (ask,) = allocator.tick(now + 60_000.0, "")
-    assert allocator.promise_received(now + 60_001.0, Promise(ADDRESSES[0], ask.epoch, ask.round))
+    allocator_plan = allocator_plan or plan(voters=1)
+    allocator = Allocator(allocator_plan, ADDRESSES[0], 1, Random(1), now)
+    (request,) = allocator.tick(now + 60_000.0, "")
+    assert allocator.promise_received(now + 60_001.0, Promise(ADDRESSES[0], request.epoch, request.round))
     return allocator, now + 60_001.0
 
 
@@ -302,27 +305,43 @@
 
 
 def test_a_lease_runs_from_the_time_of_its_request():
-    made = plan()
-    holder = LeaseHolder(made, ADDRESSES[1], 1, Random(1), 0.0)
-    _, said = holder.request(5_000.0)
+    leased_plan = plan()
+    holder = LeaseHolder(leased_plan, ADDRESSES[1], 1, Random(1), 0.0)
+    _, request = holder.request(5_000.0)
     grant = LeaseGrant(
-        1, said.seq, (1, 9), ADDRESSES[0], (9, 1), said.basis, (("quotes", 20),), made.lease, 500.0
+        1,
+        request.seq,
+        (1, 9),
+        ADDRESSES[0],
+        (9, 1),
+        request.basis,
+        (("quotes", 20),),
+        leased_plan.lease,
+        500.0,
     )
-    assert not deepcopy(holder).granted(5_000.0 + made.lease, grant)
-    assert holder.granted(5_000.0 + made.lease - 1.0, grant)
-    assert holder.leased(5_000.0 + made.lease - 0.5, "quotes") == 20
-    assert holder.leased(5_000.0 + made.lease, "quotes") == 0
+    assert not deepcopy(holder).granted(5_000.0 + leased_plan.lease, grant)
+    assert holder.granted(5_000.0 + leased_plan.lease - 1.0, grant)
+    assert holder.leased(5_000.0 + leased_plan.lease - 0.5, "quotes") == 20
+    assert holder.leased(5_000.0 + leased_plan.lease, "quotes") == 0
 
 
 def test_a_grant_with_another_basis_boot_or_request_is_not_accepted():
-    made = plan()
-    holder = LeaseHolder(made, ADDRESSES[1], 7, Random(1), 0.0)
-    _, said = holder.request(100.0)
-    for wrong in ({"basis": (9, 4)}, {"boot": 8}, {"seq": 99}):
+    leased_plan = plan()
+    holder = LeaseHolder(leased_plan, ADDRESSES[1], 7, Random(1), 0.0)
+    _, request = holder.request(100.0)
+    for changes in ({"basis": (9, 4)}, {"boot": 8}, {"seq": 99}):
         grant = LeaseGrant(
-            7, said.seq, (1, 9), ADDRESSES[0], (9, 5), said.basis, (("quotes", 20),), made.lease, 500.0
+            7,
+            request.seq,
+            (1, 9),
+            ADDRESSES[0],
+            (9, 5),
+            request.basis,
+            (("quotes", 20),),
+            leased_plan.lease,
+            500.0,
         )
-        assert not holder.granted(200.0, msgspec.structs.replace(grant, **wrong))
+        assert not holder.granted(200.0, msgspec.structs.replace(grant, **changes))
         assert holder.leased(200.0, "quotes") == 0
 
 
@@ -333,11 +352,11 @@
 
 
 def test_a_new_epoch_renews_after_an_echo_and_raises_nothing_before_old_leases_expire():
-    allocator, now = elected()
-    # without the echo it may have been sent before the epoch
-    stranger = allocator.lease_requested(now, lease_request(held=20, basis=(5, 3)))
-    assert isinstance(stranger, Redirect)
-    assert stranger.epoch == allocator.epoch
+    allocator, now = elected_allocator()
+    # A request that does not echo the epoch may have been sent before it.
+    redirect = allocator.lease_requested(now, lease_request(held=20, basis=(5, 3)))
+    assert isinstance(redirect, Redirect)
+    assert redirect.epoch == allocator.epoch
     renewed = allocator.lease_requested(
         now, lease_request(seq=2, epoch=allocator.epoch, held=20, basis=(5, 3))
     )
@@ -352,19 +371,19 @@
 
 
 def test_slots_of_an_earlier_start_stay_in_the_ledger_until_their_lease_expires():
-    allocator, now = elected()
+    allocator, now = elected_allocator()
     now += allocator.plan.lease_bound + 1_011.0
     allocator.until = now + 60_000.0
     first = allocator.lease_requested(now, lease_request(epoch=allocator.epoch, need=60))
-    out = dict(first.slots)["quotes"]
-    assert out > 40
-    again = allocator.lease_requested(now + 100.0, lease_request(boot=2, epoch=allocator.epoch, need=60))
-    assert dict(again.slots)["quotes"] <= 54 - out
-    over = now + allocator.plan.lease_bound + 1.0
-    allocator.ledger.divide(over)
-    assert allocator.ledger.cooling_slots["quotes"] >= out - 1  # and cools down for a window
-    assert allocator.ledger.available(over, "quotes") <= 54 - out
-    assert allocator.ledger.available(over + 1_011.0, "quotes") >= out
+    leased = dict(first.slots)["quotes"]
+    assert leased > 40
+    restarted = allocator.lease_requested(now + 100.0, lease_request(boot=2, epoch=allocator.epoch, need=60))
+    assert dict(restarted.slots)["quotes"] <= 54 - leased
+    expired_at = now + allocator.plan.lease_bound + 1.0
+    allocator.ledger.divide(expired_at)
+    assert allocator.ledger.cooling_slots["quotes"] >= leased - 1  # their slots cool down for a window
+    assert allocator.ledger.available(expired_at, "quotes") <= 54 - leased
+    assert allocator.ledger.available(expired_at + 1_011.0, "quotes") >= leased
 
 
 def test_requests_are_paced_if_voters_redirect_to_each_other():
@@ -387,27 +406,27 @@
 
 
 def test_the_definition_of_a_budget_does_not_change_while_slots_are_leased():
-    client = LeaseClient(plan(whole=60, floor=2), ADDRESSES[1], 1, 1, 0.0)
+    client = LeaseClient(plan(total=60, floor=2), ADDRESSES[1], 1, 1, 0.0)
     longer = Budget("quotes", "set-ups", 240, 8, 4000.0)
     more = Budget("more", "repeats", 10, 1, 1000.0)
     client.change_plan(1.0, Plan((longer, more), ADDRESSES[:6], ADDRESSES[:3]))
     assert client.plan.budgets == (Budget("quotes", "set-ups", 60, 2, 1000.0), Budget("more", "repeats", 10))
-    client.change_plan(2.0, plan(whole=40, floor=1))
+    client.change_plan(2.0, plan(total=40, floor=1))
     assert client.plan.by_name["quotes"] == Budget("quotes", "set-ups", 40, 1, 1000.0)
-    client.change_plan(3.0, plan(whole=80, floor=5))
+    client.change_plan(3.0, plan(total=80, floor=5))
     assert client.plan.by_name["quotes"] == Budget("quotes", "set-ups", 80, 1, 1000.0)
 
 
 def test_the_largest_messages_fit_a_datagram():
     address, big = "255.255.255.255:65535", (1 << 62) - 1
-    lines = tuple(
+    requests = tuple(
         BudgetRequest(f"{n:032d}", 10_000_000, 10_000_000, 10_000_000, 10_000_000, 1.5) for n in range(16)
     )
-    parts = tuple((line.name, 10_000_000) for line in lines)
-    far, id = (1 << 52, big), (big, 1 << 52)
+    slots = tuple((request.name, 10_000_000) for request in requests)
+    epoch, grant_id = (1 << 52, big), (big, 1 << 52)
     for message in (
-        LeaseRequest(address, big, 1 << 52, far, id, lines),
-        LeaseGrant(big, 1 << 52, far, address, id, id, parts, 1e5, 1e5),
+        LeaseRequest(address, big, 1 << 52, epoch, grant_id, requests),
+        LeaseGrant(big, 1 << 52, epoch, address, grant_id, grant_id, slots, 1e5, 1e5),
     ):
         assert len(msgspec.msgpack.encode(message)) <= 1_300
 
--- a/tests/test_call_history.py
+++ b/tests/test_call_history.py
@@ -1,4 +1,4 @@
-"""The call history: limits, management call and file. Components that are disabled are not loaded."""
+"""The call history: limits, management request and file. Components that are disabled are not loaded."""
 
 import json
 import subprocess
@@ -19,9 +19,9 @@
     """
 
 
-def test_limits_on_calls_and_entries():
-    at = [0.0]
-    history = CallHistory(lambda: at[0], max_calls=3)
+def test_calls_and_the_events_of_a_call_are_limited():
+    now = [0.0]
+    history = CallHistory(lambda: now[0], max_calls=3)
     for n in range(5):
         history.note(call_id(n), "set-up")
     assert list(history.calls) == [call_id(n) for n in (2, 3, 4)]
@@ -30,7 +30,7 @@
     assert history.pop_changed(9) == [call_id(4)]
     assert history.pop_changed(9) == []
     for n in range(100):
-        at[0] = float(n)
+        now[0] = float(n)
         history.note(call_id(4), "again", str(n))
     report = history.report(call_id(4), 1000.0)
     assert len(report["life"]) == FIRST_EVENTS + LAST_EVENTS
@@ -85,7 +85,7 @@
 
 
 def test_importing_the_program_loads_no_optional_component():
-    off = (
+    optional = (
         "net.call_history",
         "net.peers",
         "net.budgets",
@@ -96,10 +96,10 @@
         "budgets",
     )
     # A name of a module that no longer exists would check nothing.
-    assert all(find_spec(f"softswitch.{name}") for name in off)
+    assert all(find_spec(f"softswitch.{name}") for name in optional)
     code = (
         "import sys, softswitch.__main__; "
-        f"off = tuple('softswitch.' + name for name in {off}) + ('msgspec', 'starlark'); "
+        f"off = tuple('softswitch.' + name for name in {optional}) + ('msgspec', 'starlark'); "
         "print([m for m in sys.modules if m.startswith(off)])"
     )
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout.strip() == "[]"
--- a/tests/test_call_limits.py
+++ b/tests/test_call_limits.py
@@ -220,8 +220,8 @@
 def test_calls_of_a_tenant_over_its_fraction_of_the_quota_have_less_weight():
     quotas = TenantQuotas(settings(**QUOTAS))
     burst = round(ACME.quota * BURST / 1000 / 2)  # this softswitch has half of all calls
-    shares = [quotas.weight_factor(0.0, "acme", PLAIN, 0.5) for _ in range(burst + 3)]
-    assert shares == [1.0] * burst + [0.1] * 3
+    factors = [quotas.weight_factor(0.0, "acme", PLAIN, 0.5) for _ in range(burst + 3)]
+    assert factors == [1.0] * burst + [0.1] * 3
     assert quotas.weight_factor(0.0, "bolt", PLAIN, 0.5) == 1.0
     assert quotas.weight_factor(0.0, "", PLAIN, 0.5) == 1.0
     assert quotas.weight_factor(0.0, "unknown", PLAIN, 0.5) == 1.0
@@ -246,14 +246,14 @@
 def test_unequal_softswitches_find_about_as_many_calls_over_the_quota_as_one_would(seed):
     """Each has its true fraction of all calls; the error of equal fractions is on the design page."""
     rng = random.Random(seed)
-    shares = [rng.uniform(0.2, 3.0) for _ in range(6)]
-    shares = [share / sum(shares) for share in shares]
-    quotas = [TenantQuotas(settings(**QUOTAS)) for _ in shares]
+    fractions = [rng.uniform(0.2, 3.0) for _ in range(6)]
+    fractions = [fraction / sum(fractions) for fraction in fractions]
+    quotas = [TenantQuotas(settings(**QUOTAS)) for _ in fractions]
     now, calls = 0.0, 0
     while now < 60_000.0:
         now += rng.expovariate(20 / 1000)  # twice the quota of acme
-        n = rng.choices(range(len(shares)), shares)[0]
-        quotas[n].weight_factor(now, "acme", PLAIN, shares[n])
+        n = rng.choices(range(len(fractions)), fractions)[0]
+        quotas[n].weight_factor(now, "acme", PLAIN, fractions[n])
         calls += 1
     assert 0.35 < sum(q.over_quota_calls for q in quotas) / calls < 0.55
 
--- a/tests/test_constraints.py
+++ b/tests/test_constraints.py
@@ -17,8 +17,8 @@
 class FakeConstraints:
     """Constraints set by a test, which record the reports of the module."""
 
-    def __init__(self, wait=0.0, retries=True, shares=None):
-        self.wait, self.retries, self.shares = wait, retries, shares or {}
+    def __init__(self, wait=0.0, retries=True, fractions=None):
+        self.wait, self.retries, self.fractions = wait, retries, fractions or {}
         self.reports = []
 
     def admit(self, call_class, priority_weight):
@@ -35,7 +35,7 @@
         self.reports.append(("sent", server, retry))
 
     def share(self, resource, server, default):
-        return self.shares.get(resource, default)
+        return self.fractions.get(resource, default)
 
 
 def limited_controller(constraints, servers=("a", "b"), **changes):
@@ -76,10 +76,10 @@
     assert sent_attempts(end_attempt(unlimited, 20.0, "x", attempt.server, i.Outcome.REJECTED))
 
 
-def attempts_in_slow_start(share):
+def attempts_in_slow_start(fraction):
     """Returns how many of 1000 call setups are sent to a warming endpoint."""
     c = start_controller(("a",), may_cancel=False)
-    c.handle(1.0, i.ConstraintsChanged(FakeConstraints(shares={"cold": share})))
+    c.handle(1.0, i.ConstraintsChanged(FakeConstraints(fractions={"cold": fraction})))
     c.handle(2.0, i.EndpointsChanged(i.UpdateKind.CHANGES, (endpoint("a", 0, started_at=2.0),)))
     report_circuits(c, 3.0, "a", free=480.0)
     total = 0
@@ -95,7 +95,7 @@
 
 
 def test_a_warming_endpoint_gets_attempts_by_the_share_that_is_held():
-    none, low, high = (attempts_in_slow_start(share) for share in (0.0, 0.2, 0.8))
+    none, low, high = (attempts_in_slow_start(fraction) for fraction in (0.0, 0.2, 0.8))
     assert none == 0 < low < high
     assert high > 2 * low
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -146,11 +146,11 @@
         server = f"s-{n + 100:08x}"
         for state in (i.EndpointState.READY, i.EndpointState.REMOVED):
             b.list_changed(i.Endpoint(server, 5, state))
-        b.switch.endpoints.forget(server)  # as the links do once the engine has no calls left
+        b.switch.endpoints.forget(server)  # as the link does once the engine has no calls left
         b.list_changed(i.Endpoint(server, 5, i.EndpointState.REMOVED))
         b.call(n)
         b.switch.answered_by_engine(A, f"{n:016x}", b"d")
-        assert b.switch.calls[f"{n:016x}"].request.description == b""  # delivered, and no longer kept
+        assert b.switch.calls[f"{n:016x}"].request.description == b""  # delivered, and no longer stored
         b.switch.released_by_engine(A, f"{n:016x}", 16)
     b.run(4000.0)
     assert set(b.switch.endpoints.states) == set(b.switch.endpoints.started_at) == {A, B}
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "changes",
     [
         dict(call="xyz"),
         dict(call="0" * 15 + "A"),
@@ -182,9 +182,9 @@
         dict(description=b"x" * 17_000),
     ],
 )
-def test_invalid_setup_requests_are_rejected(bad):
+def test_invalid_setup_requests_are_rejected(changes):
     with pytest.raises(ValueError):
-        SetupRequest(**(dict(call=ONE, call_class="x", number="77", timeout=1.0) | bad))
+        SetupRequest(**(dict(call=ONE, call_class="x", number="77", timeout=1.0) | changes))
 
 
 def test_calls_of_the_predecessor_are_released_in_both_directions_once_and_for_a_limited_time():
--- a/tests/test_dimension.py
+++ b/tests/test_dimension.py
@@ -123,15 +123,18 @@
         weights = [1.0]
         for k in range(min(circuits, sources)):
             weights.append(weights[-1] * each * (sources - k) / (k + 1))
-        time_share = weights[circuits] / sum(weights) if circuits <= sources else 0.0
+        time_congestion = weights[circuits] / sum(weights) if circuits <= sources else 0.0
         offered = sum(w * (sources - k) for k, w in enumerate(weights))
-        call = weights[circuits] * (sources - circuits) / offered if circuits <= sources else 0.0
-        assert loss.engset(circuits, sources, each) == (pytest.approx(time_share), pytest.approx(call))
+        call_congestion = weights[circuits] * (sources - circuits) / offered if circuits <= sources else 0.0
+        assert loss.engset(circuits, sources, each) == (
+            pytest.approx(time_congestion),
+            pytest.approx(call_congestion),
+        )
         if circuits < sources:  # Bernoulli traffic of the same mean and peakedness is the same chain
             erlangs = sources * each / (1 + each)
             assert peaked_traffic.bpp(circuits, erlangs, 1 / (1 + each))[:2] == (
-                pytest.approx(time_share),
-                pytest.approx(call),
+                pytest.approx(time_congestion),
+                pytest.approx(call_congestion),
             )
 
 
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -42,14 +42,14 @@
 
 
 def member(name="n0", seeds=(), now=0.0, **more):
-    made = Member("f", record(name, State.JOINING, boot=1, **more), seeds, Periods(), 3, now)
-    made._complete_join(now)
-    return made
+    created = Member("f", record(name, State.JOINING, boot=1, **more), seeds, Periods(), 3, now)
+    created._complete_join(now)
+    return created
 
 
 def receive(m, now, *records, sender="n1"):
-    head = Header("f", 1, record(sender), 0)
-    return m.datagram_received(now, Updates(head, tuple(records)))
+    header = Header("f", 1, record(sender), 0)
+    return m.datagram_received(now, Updates(header, tuple(records)))
 
 
 # member table
@@ -57,19 +57,19 @@
 
 def test_tables_with_the_same_records_in_any_order_are_equal():
     rng = random.Random(4)
-    said = [
+    records = [
         record(f"n{rng.randrange(5)}", rng.choice(list(State)), rng.randrange(4), rng.randrange(3))
         for _ in range(60)
     ]
-    seen = set()
+    tables = set()
     for _ in range(30):
-        rng.shuffle(said)
+        rng.shuffle(records)
         table = MemberTable()
-        for r in said + rng.sample(said, 20):
+        for r in records + rng.sample(records, 20):
             table.put(0.0, r)
-        seen.add((table.digest, tuple(table.buckets), frozenset(table.records.items())))
+        tables.add((table.digest, tuple(table.buckets), frozenset(table.records.items())))
         assert sum(table.count.values()) == len(table.records) <= MAX_MEMBERS
-    assert len(seen) == 1
+    assert len(tables) == 1
 
 
 def test_an_ended_state_is_final_until_a_higher_incarnation():
@@ -86,8 +86,8 @@
     table = MemberTable()
     for n in range(8):
         table.put(0.0, record(f"n{n}"))
-    passed = sum(len(table.next_updates(3)) for _ in range(100))
-    assert 0 < passed <= 8 * 10
+    sent = sum(len(table.next_updates(3)) for _ in range(100))
+    assert 0 < sent <= 8 * 10
     assert not table.pending
 
 
@@ -103,10 +103,10 @@
         other.exchange_message_received(now, rest)
 
     a.table.put(0.0, dead)
-    b.table.put(10_000.0, dead)  # received a little later
+    b.table.put(10_000.0, dead)  # received 10 s later
     half = TOMBSTONE_LIFETIME / 2
     exchange(half, late, a)
-    # the age is preserved, and the record is not disseminated again
+    # The age is preserved, and the record is not disseminated again.
     assert late.table.changed_at[dead.key] == 0.0
     assert dead.key not in late.table.pending
     now = TOMBSTONE_LIFETIME + 5_000.0
@@ -154,13 +154,13 @@
 def test_a_suspected_member_refutes_and_notifies_some_members_at_once():
     m = member()
     receive(m, 1.0, record("n2"), record("n3"))
-    acts = receive(m, 10.0, msgspec.structs.replace(m.me, state=State.SUSPECT))
+    actions = receive(m, 10.0, msgspec.structs.replace(m.me, state=State.SUSPECT))
     assert m.me.incarnation == 2
     assert m.me.state is State.ALIVE
-    sent = [a for a in acts if isinstance(a, Send) and isinstance(a.message, Updates)]
+    sent = [a for a in actions if isinstance(a, Send) and isinstance(a.message, Updates)]
     assert sent
     assert all(a.message.updates == (m.me,) for a in sent)
-    assert any(isinstance(a, Notice) and a.event == "accused" for a in acts)
+    assert any(isinstance(a, Notice) and a.event == "accused" for a in actions)
 
 
 def test_a_restart_without_a_snapshot_overrules_records_of_earlier_incarnations():
@@ -169,35 +169,37 @@
     assert m.me.incarnation == 42
     assert m.me.state is State.ALIVE
     assert m.me.boot == 1
-    receive(m, 2.0, record("n0", State.GONE, incarnation=17, boot=98))  # of an earlier incarnation, delayed
+    receive(
+        m, 2.0, record("n0", State.GONE, incarnation=17, boot=98)
+    )  # a delayed record of an earlier incarnation
     assert m.me.incarnation == 42
 
 
 def test_a_name_conflict_is_reported_and_neither_member_is_stopped():
     m = member()
-    other = msgspec.structs.replace(record("n0", boot=5), address="10.0.0.9:7000")
-    acts = receive(m, 1.0, other)
-    assert [a.details for a in acts if isinstance(a, Notice) and a.event == "name taken"] == [
+    namesake = msgspec.structs.replace(record("n0", boot=5), address="10.0.0.9:7000")
+    actions = receive(m, 1.0, namesake)
+    assert [a.details for a in actions if isinstance(a, Notice) and a.event == "name taken"] == [
         "n0 is at 10.0.0.9:7000 too"
     ]
     assert m.me.incarnation == 1
-    assert m.table.records[other.key].state is State.ALIVE
-    assert not [a for a in receive(m, 2.0, other) if isinstance(a, Notice)]  # reported once
+    assert m.table.records[namesake.key].state is State.ALIVE
+    assert not [a for a in receive(m, 2.0, namesake) if isinstance(a, Notice)]  # reported once
 
 
 @pytest.mark.parametrize(
-    ("head", "why"),
+    ("header", "reason"),
     [
         (Header("g", 1, record("n1"), 0), "fleet 'g', this one is 'f'"),
         (Header("f", 9, record("n1"), 0), "format 9 of messages, 1 is spoken here"),
     ],
 )
-def test_another_fleet_or_format_is_rejected_with_a_reason(head, why):
+def test_another_fleet_or_format_is_rejected_with_a_reason(header, reason):
     m = member()
-    acts = m.datagram_received(1.0, Ping(head, 1, m.me.key))
-    assert [a.message for a in acts if isinstance(a, Send)] == [Rejected(why)]
+    actions = m.datagram_received(1.0, Ping(header, 1, m.me.key))
+    assert [a.message for a in actions if isinstance(a, Send)] == [Rejected(reason)]
     assert len(m.table.records) == 1
-    assert m.exchange_message_received(1.0, CompareDigests(head, (0,) * 64))[0] == Rejected(why)
+    assert m.exchange_message_received(1.0, CompareDigests(header, (0,) * 64))[0] == Rejected(reason)
 
 
 def test_after_a_stall_timeouts_are_extended_and_no_member_is_suspected():
@@ -205,23 +207,23 @@
     receive(m, 0.0, record("n1"), record("n2"), record("n3"))
     m.tick(m.next_at())
     assert m.probe is not None
-    acts = m.tick(30_000.0)
+    actions = m.tick(30_000.0)
     assert m.counts["standstills"] == 1
     assert m.counts["accused"] == 0
     assert m.health_score == 1
-    assert not [a for a in acts if isinstance(a, MemberChanged)]
+    assert not [a for a in actions if isinstance(a, MemberChanged)]
 
 
 def test_a_minority_reports_cut_off_and_declares_no_member_gone():
     m, now = member(), 0.0
     receive(m, 0.0, *(record(f"n{n}") for n in range(1, 5)))
-    said = []
+    actions = []
     while now < 60_000.0:
         now = max(now + 1.0, m.next_at())
         m.last_received_at = now  # messages are received, but none from a known member
-        said += m.tick(now)
+        actions += m.tick(now)
     assert m.cut_off
-    assert "cut off" in [a.event for a in said if isinstance(a, Notice)]
+    assert "cut off" in [a.event for a in actions if isinstance(a, Notice)]
     states = {r.state for r in m.known_records() if r.name != "n0"}
     assert states == {State.SUSPECT}
     assert m.count_by_site()[""]["gone"] == 0
@@ -253,11 +255,11 @@
 
 def test_joining_contacts_the_seeds_and_continues_alone_without_an_answer():
     m = Member("f", record("n0", State.JOINING), ("10.0.0.1:7001", "10.0.0.1:7002"), Periods(), 3, 0.0)
-    asked, now = [], 0.0
+    contacted, now = [], 0.0
     while now < 6_000.0:
-        asked += [a.to for a in m.tick(now) if isinstance(a, Exchange)]
+        contacted += [a.to for a in m.tick(now) if isinstance(a, Exchange)]
         now = max(now + 1.0, m.next_at())
-    assert set(asked) == {"10.0.0.1:7001", "10.0.0.1:7002"}
+    assert set(contacted) == {"10.0.0.1:7001", "10.0.0.1:7002"}
     assert m.me.state is State.ALIVE
 
 
@@ -265,28 +267,32 @@
 
 
 def test_fleet_size_rises_at_once_and_falls_after_the_last_attempts_have_ended():
-    size, all_ = FleetSize(4, linger=10_000.0), [record(f"n{n}") for n in range(6)]
-    assert size.update(0.0, all_[:1], joined=False, cut_off=False) == 4
-    assert size.update(0.0, all_[:2], joined=True, cut_off=False) == 2
-    assert size.update(1.0, all_, joined=True, cut_off=False) == 6
-    fewer = [*all_[:4], record("n4", State.GONE), record("n5", State.LEFT)]
+    size, records = FleetSize(4, linger=10_000.0), [record(f"n{n}") for n in range(6)]
+    assert size.update(0.0, records[:1], joined=False, cut_off=False) == 4
+    assert size.update(0.0, records[:2], joined=True, cut_off=False) == 2
+    assert size.update(1.0, records, joined=True, cut_off=False) == 6
+    fewer = [*records[:4], record("n4", State.GONE), record("n5", State.LEFT)]
     assert size.update(2.0, fewer, joined=True, cut_off=False) == 6
     assert size.update(10_001.0, fewer, joined=True, cut_off=False) == 6
     assert size.update(10_003.0, fewer, joined=True, cut_off=True) == 6  # an isolated member can't tell
     assert size.update(10_003.0, fewer, joined=True, cut_off=False) == 4
-    assert size.update(10_004.0, all_, joined=True, cut_off=False) == 6
+    assert size.update(10_004.0, records, joined=True, cut_off=False) == 6
 
 
-# many members on virtual time
+# simulated fleets on virtual time
 
 
 def test_generated_schedules_settle_and_violate_no_invariant():
     for seed in range(30):
         rng = random.Random(seed)
-        n, places = rng.randint(3, 14), rng.randint(1, 4)
-        sites = {f"n{k}": "abcd"[k % places] for k in range(n)}
-        o = run_simulation(n, places, 40.0, seed, generate_schedule(seed, list(sites), sites, 40.0))
-        assert o.settled and not o.violation and not o.false_gone and not o.planned_gone, (seed, o)
+        member_count, site_count = rng.randint(3, 14), rng.randint(1, 4)
+        sites = {f"n{k}": "abcd"[k % site_count] for k in range(member_count)}
+        outcome = run_simulation(
+            member_count, site_count, 40.0, seed, generate_schedule(seed, list(sites), sites, 40.0)
+        )
+        assert (
+            outcome.settled and not outcome.violation and not outcome.false_gone and not outcome.planned_gone
+        ), (seed, outcome)
 
 
 @pytest.mark.parametrize("seed", [279, 5741, 6157, 8391])
@@ -300,22 +306,28 @@
     Seed 6157, with four of nine dead, loss and starved members, still takes longer.
     """
     rng = random.Random(seed)
-    n, places = rng.randint(3, 14), rng.randint(1, 4)
-    sites = {f"n{k}": "abcd"[k % places] for k in range(n)}
+    member_count, site_count = rng.randint(3, 14), rng.randint(1, 4)
+    sites = {f"n{k}": "abcd"[k % site_count] for k in range(member_count)}
     faults = generate_schedule(seed, list(sites), sites, 40.0)
-    lose, starved = rng.choice((0.0, 0.0, 0.0, 0.1)), rng.choice((0.0, 0.0, 0.0, 0.2))
-    o = run_simulation(n, places, 40.0, seed, faults, lose=lose, starved=starved)
-    assert o.settled and not o.violation and not o.false_gone and not o.planned_gone, (seed, o)
+    loss, starvation = rng.choice((0.0, 0.0, 0.0, 0.1)), rng.choice((0.0, 0.0, 0.0, 0.2))
+    outcome = run_simulation(member_count, site_count, 40.0, seed, faults, lose=loss, starved=starvation)
+    assert (
+        outcome.settled and not outcome.violation and not outcome.false_gone and not outcome.planned_gone
+    ), (seed, outcome)
 
 
 def test_a_seed_replays_exactly():
     sites = {f"n{k}": "ab"[k % 2] for k in range(8)}
     runs = []
     for _ in range(2):
-        world = FleetSimulation(8, 2, 5, generate_schedule(5, list(sites), sites, 30.0))
-        world.run(30_000)
+        simulation = FleetSimulation(8, 2, 5, generate_schedule(5, list(sites), sites, 30.0))
+        simulation.run(30_000)
         runs.append(
-            (world.events, world.log, [n.member.table.digest for n in world.nodes.values() if n.member])
+            (
+                simulation.events,
+                simulation.log,
+                [n.member.table.digest for n in simulation.nodes.values() if n.member],
+            )
         )
     assert runs[0] == runs[1]
     assert runs[0][0] > 1_000
@@ -370,19 +382,19 @@
 def test_hard_cases_settle_without_false_gone_members(name):
     seconds, faults = HARD_CASES[name]
     for seed in (1, 2):
-        o = run_simulation(12, 3, seconds, seed, faults, empty_disk_ratio=0.0)
-        assert o.settled and not o.violation and o.false_gone == 0, o
-        assert all(known < 5.0 for known in o.detect_s), o
+        outcome = run_simulation(12, 3, seconds, seed, faults, empty_disk_ratio=0.0)
+        assert outcome.settled and not outcome.violation and outcome.false_gone == 0, outcome
+        assert all(known < 5.0 for known in outcome.detect_s), outcome
 
 
 def test_an_injected_fault_is_detected(monkeypatch):
     """The checker detects a member that refutes nothing, and a table that accepts an older incarnation."""
     sites = {f"n{k}": "ab"[k % 2] for k in range(9)}
 
-    def wrong():
+    def finds_violations():
         return any(
-            not o.settled or o.violation or o.false_gone
-            for o in (
+            not outcome.settled or outcome.violation or outcome.false_gone
+            for outcome in (
                 run_simulation(9, 2, 40.0, seed, generate_schedule(seed, list(sites), sites, 40.0))
                 for seed in range(8)
             )
@@ -390,26 +402,26 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(Member, "_refute", lambda self, now, record: None)
-        assert wrong()
-    old = MemberTable.put
+        assert finds_violations()
+    original_put = MemberTable.put
 
     def put_older_incarnation(self, now, record, age=0.0):
-        held = self.records.get(record.key)
-        if held is not None and record.incarnation < held.incarnation:
+        existing = self.records.get(record.key)
+        if existing is not None and record.incarnation < existing.incarnation:
             self.drop(record.key)
-        return old(self, now, record, age)
+        return original_put(self, now, record, age)
 
     with monkeypatch.context() as patch:
         patch.setattr(MemberTable, "put", put_older_incarnation)
-        assert wrong()
-    assert not wrong()
+        assert finds_violations()
+    assert not finds_violations()
 
 
 # schedules
 
 
 @pytest.mark.parametrize(
-    ("text", "why"),
+    ("text", "reason"),
     [
         ('[{"at_s": 1, "what": "melt", "who": ["n0"]}]', "Invalid enum value 'melt'"),
         ('[{"at_s": 1, "what": "lose", "who": ["n0"]}]', "`lose` needs a `share` above 0"),
@@ -423,14 +435,14 @@
         ("[{", "truncated"),
     ],
 )
-def test_an_invalid_schedule_is_rejected_with_the_reason(text, why):
+def test_an_invalid_schedule_is_rejected_with_the_reason(text, reason):
     with pytest.raises(ScheduleError) as caught:
         parse_schedule(text.encode(), "s.json", {"n0": "a", "n1": "b"})
     assert "s.json: " in str(caught.value)
-    assert why in str(caught.value)
+    assert reason in str(caught.value)
 
 
-def test_selections():
+def test_members_are_selected_by_site_by_name_and_as_the_rest():
     sites = {"n0": "a", "n1": "b", "n2": "a"}
     assert select_members(("site:a",), sites) == ["n0", "n2"]
     assert select_members(("rest",), sites, ["n0", "n2"]) == ["n1"]
@@ -478,14 +490,14 @@
 def test_a_corrupt_truncated_or_unsupported_snapshot_is_reported_and_left_unchanged(tmp_path):
     path = tmp_path / "s"
     Snapshot(path, 1, 1).write(b"what was known")
-    whole = path.read_bytes()
-    for n in range(len(whole)):
-        for data in (whole[:n], whole[:n] + bytes((whole[n] ^ 1,)) + whole[n + 1 :]):
+    complete = path.read_bytes()
+    for n in range(len(complete)):
+        for data in (complete[:n], complete[:n] + bytes((complete[n] ^ 1,)) + complete[n + 1 :]):
             path.write_bytes(data)
             with pytest.raises(SnapshotError):
                 Snapshot(path, 1, 1).read()
             assert path.read_bytes() == data
-    path.write_bytes(whole)
+    path.write_bytes(complete)
     with pytest.raises(SnapshotError, match="version 1 is not supported, 2 is expected"):
         Snapshot(path, 1, 2).read()
     assert Snapshot(path, 1, 2).read(versions=(1,)) == (1, b"what was known")
@@ -495,7 +507,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "why"),
+    ("line", "reason"),
     [
         (
             'fleet = {"address": "127.0.0.1:7000", "seeds": ["127.0.0.1:7001"]}',
@@ -521,14 +533,16 @@
         ),
     ],
 )
-def test_an_invalid_table_is_rejected_at_start_with_file_line_and_reason(tmp_path, line, why):
+def test_an_invalid_table_is_rejected_at_start_with_file_line_and_reason(tmp_path, line, reason):
     path = tmp_path / "o.star"
     path.write_text("\n" + line + "\n")
     root = Path(__file__).parent.parent
-    ran = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "softswitch.cli", "config", "check", str(path)],
         cwd=root,
         capture_output=True,
         text=True,
     )
-    assert ran.returncode == 2 and f"{path}:2: " in ran.stderr and why in ran.stderr, ran.stderr
+    assert result.returncode == 2 and f"{path}:2: " in result.stderr and reason in result.stderr, (
+        result.stderr
+    )
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Tests estimates, the planner and the simulation against theory, brute force and each other."""
+"""Compares traffic estimates, the planner and the simulation with theory, brute force and each other."""
 
 import json
 import subprocess
@@ -45,10 +45,10 @@
 
 
 def test_simulation_agrees_with_theory():
-    out = simulate.run([simulate.Group("g", 10)], [simulate.Demand("x", 8, ("g",))], 20_000, 1, warm_up=20)
-    x = out.demands["x"]
+    result = simulate.run([simulate.Group("g", 10)], [simulate.Demand("x", 8, ("g",))], 20_000, 1, warm_up=20)
+    x = result.demands["x"]
     assert x.lost / x.calls == pytest.approx(loss.erlang_b(10, 8), rel=0.03)
-    assert out.carried["g"] == pytest.approx(8 * (1 - loss.erlang_b(10, 8)), rel=0.02)
+    assert result.carried["g"] == pytest.approx(8 * (1 - loss.erlang_b(10, 8)), rel=0.02)
     wide = simulate.run(
         [simulate.Group("g", 20)],
         [simulate.Demand("a", 8, ("g",)), simulate.Demand("b", 2, ("g",), width=4)],
@@ -69,8 +69,8 @@
     pair = mutual.pair((8, 14), (10, 8), (0, 3))
     assert both.demands["a"].lost / both.demands["a"].calls == pytest.approx(pair.first, rel=0.05)
     assert both.demands["b"].lost / both.demands["b"].calls == pytest.approx(pair.second, rel=0.12)
-    free = mutual.pair((8, 14), (10, 8))
-    assert free.first == pytest.approx(loss.erlang_b(22, 18)) == pytest.approx(free.second)
+    unreserved = mutual.pair((8, 14), (10, 8))
+    assert unreserved.first == pytest.approx(loss.erlang_b(22, 18)) == pytest.approx(unreserved.second)
     # The mean of the overflow, and the blocking of an interrupted Poisson process.
     over = simulate.run(
         [simulate.Group("1", 6), simulate.Group("2", 10_000)],
@@ -106,27 +106,27 @@
     for seconds, demand in ((5.0, {}), (100.0, {}), (150.0, {"on": 2.0, "off": 4.0})):
         covered = 0
         for seed in range(120):
-            e = traffic.estimate(sample(10.0, seconds, seed, max(0.1, seconds / 1000), **demand))
-            covered += e.erlangs.low <= 10 <= e.erlangs.high
+            estimate = traffic.estimate(sample(10.0, seconds, seed, max(0.1, seconds / 1000), **demand))
+            covered += estimate.erlangs.low <= 10 <= estimate.erlangs.high
         assert covered >= 105, (seconds, demand, covered)
 
 
 def test_blocking_and_redials_do_not_bias_the_estimate():
-    found = traffic.estimate(sample(10.0, 2_000.0, 3, circuits=8, again=0.9, tries=5))
-    assert found.erlangs.low < 10 < found.erlangs.high
-    assert found.erlangs.half_width < 0.04
-    assert found.redial_share > 0.15
+    estimate = traffic.estimate(sample(10.0, 2_000.0, 3, circuits=8, again=0.9, tries=5))
+    assert estimate.erlangs.low < 10 < estimate.erlangs.high
+    assert estimate.erlangs.half_width < 0.04
+    assert estimate.redial_share > 0.15
 
 
 def test_peakedness_and_a_surge_are_detected():
     z = peaked_traffic.interrupted_poisson(10, 2.0, 4.0)[1]
-    found = traffic.estimate(sample(10.0, 3_000.0, 5, on=2.0, off=4.0))
-    assert found.method == "batches"
-    assert found.steady
-    assert found.peakedness.low < z < found.peakedness.high
-    assert 0.6 * z < found.peakedness.value < 1.6 * z
-    s = sample(10.0, 1_200.0, 6, profile=((400.0, 2.0), (800.0, 1.0)))
-    best, complete = report.estimate_busiest(s)
+    estimate = traffic.estimate(sample(10.0, 3_000.0, 5, on=2.0, off=4.0))
+    assert estimate.method == "batches"
+    assert estimate.steady
+    assert estimate.peakedness.low < z < estimate.peakedness.high
+    assert 0.6 * z < estimate.peakedness.value < 1.6 * z
+    surge = sample(10.0, 1_200.0, 6, profile=((400.0, 2.0), (800.0, 1.0)))
+    best, complete = report.estimate_busiest(surge)
     assert not complete.steady
     assert len(complete.segments) == 3
     assert [p.end for p in complete.segments[:2]] == pytest.approx([400, 800], abs=25)
@@ -179,8 +179,8 @@
             with pytest.raises(planner.InfeasibleError, match="loses .* and may lose"):
                 planner.plan(groups, streams)
             continue
-        found = planner.plan(groups, streams)
-        assert found.cost == pytest.approx(best) and not found.service.missed(streams), seed
+        planned = planner.plan(groups, streams)
+        assert planned.cost == pytest.approx(best) and not planned.service.missed(streams), seed
     assert 0 < infeasible < 20
 
 
@@ -210,26 +210,26 @@
     assert all(lost[s.name][0] - lost[s.name][1] <= s.target for s in streams)
 
 
-def test_what_if_at_all_points_of_the_estimate():
+def test_what_if_evaluates_a_plan_at_all_points_of_the_estimate():
     groups, streams = random_network(2, 2, 8)
     streams = [
         Stream(s.name, s.group, s.erlangs, s.target, s.peakedness, 0.9 * s.erlangs, 1.1 * s.erlangs)
         for s in streams
     ]
-    found = planner.plan(groups, streams, "middle")
-    services = planner.what_if(groups, streams, found.circuits)
+    planned = planner.plan(groups, streams, "middle")
+    services = planner.what_if(groups, streams, planned.circuits)
     assert not services["middle"].missed(streams)
     assert not services["low"].missed(streams)
     for s in streams:
         assert (
             services["low"].lost[s.name] <= services["middle"].lost[s.name] <= services["high"].lost[s.name]
         )
-    without_final = planner.what_if(groups, streams, found.circuits, "f")["middle"]
+    without_final = planner.what_if(groups, streams, planned.circuits, "f")["middle"]
     assert without_final.lost["sf"] == pytest.approx(1.0)
     assert without_final.missed(streams)
-    assert planner.what_if(groups, streams, found.circuits, "", 2.0)["middle"].missed(streams)
+    assert planner.what_if(groups, streams, planned.circuits, "", 2.0)["middle"].missed(streams)
     with pytest.raises(OutOfRangeError, match="nowhere"):
-        planner.what_if(groups, streams, found.circuits, "nowhere")
+        planner.what_if(groups, streams, planned.circuits, "nowhere")
 
 
 @pytest.mark.parametrize(
@@ -251,7 +251,7 @@
         (["plot", "x.png"], "name one of"),
     ],
 )
-def test_bad_input_is_one_line_and_exit_2(arguments, message, capsys, tmp_path):
+def test_bad_input_is_reported_in_one_line_with_exit_status_2(arguments, message, capsys, tmp_path):
     file = tmp_path / "p.json"
     file.write_text('{"groups": [{"name": "g"}], "streams": [{"name": "s", "group": "g", "erlangs": 5}]}')
     assert cli.main(["trunks", *(str(file) if w == "FILE" else w for w in arguments)]) == 2
@@ -348,16 +348,16 @@
         '{"groups": [{"name": "f"}, {"name": "d", "overflow": "f"}], '
         '"streams": [{"name": "s", "group": "d", "erlangs": 5}]}'
     )
-    ran = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "softswitch.cli", "trunks", "plan", str(file), "--json"],
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert ran.returncode == 0 and json.loads(ran.stdout)["proved"] is True, ran
+    assert result.returncode == 0 and json.loads(result.stdout)["proved"] is True, result
 
 
-def test_networks_are_checked():
+def test_invalid_networks_are_rejected():
     for groups, streams, message in (
         (
             [Group("a", overflow="b"), Group("b", overflow="c"), Group("c")],
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -32,55 +32,55 @@
 @given(st.lists(st.tuples(st.floats(0, 400), st.integers(0, 2), st.booleans()), max_size=60))
 def test_saved_intervals_match_a_reference_count(steps):
     """Arrivals, outcomes and occupancy match a simple reference count for any sequence of events."""
-    r, saved = record()
+    traffic_record, saved = record()
     now, active, received, established, ended, call_ms = 0.0, [], 0, 0, 0, 0.0
     for gap, event, redial in steps:
         call_ms += gap * len(active)
         now += gap
         if event == 0:
-            r.attempt_received(now, 1, "x", redial)
+            traffic_record.attempt_received(now, 1, "x", redial)
             received += 1
         elif event == 1:
-            active.append((now, r.attempt_settled(now, 1, 2, "x", "carried", 5.0, redial)))
+            active.append((now, traffic_record.attempt_settled(now, 1, 2, "x", "carried", 5.0, redial)))
             established += 1
         elif active:
             established_at, occupancy = active.pop(0)
-            r.call_ended(now, occupancy, now - established_at)
+            traffic_record.call_ended(now, occupancy, now - established_at)
             ended += 1
-    r.roll_over(now, last=True)
-    assert sum(sum(a["first"]) + sum(a["redials"]) for e in saved for a in e["arrivals"]) == received
-    assert sum(o["carried"] for e in saved for o in e["routes"]) == established
-    occupied = [o for e in saved for o in e["occupied"]]
+    traffic_record.roll_over(now, last=True)
+    assert sum(sum(a["first"]) + sum(a["redials"]) for entry in saved for a in entry["arrivals"]) == received
+    assert sum(o["carried"] for entry in saved for o in entry["routes"]) == established
+    occupied = [o for entry in saved for o in entry["occupied"]]
     assert sum(o["ended"] for o in occupied) == ended
     # A stall longer than an interval omits the empty intervals and nothing else.
     max_gap = max([0.0, *(gap for gap, _, _ in steps)])
     assert sum(o["call_ms"] for o in occupied) <= call_ms + 1e-2
     if max_gap < 1000:
         assert sum(o["call_ms"] for o in occupied) == pytest.approx(call_ms, abs=1e-2)
-    assert all(e["begin"] % 1000 == pytest.approx(0, abs=1e-6) for e in saved)
+    assert all(entry["begin"] % 1000 == pytest.approx(0, abs=1e-6) for entry in saved)
 
 
 def test_routes_over_the_limit_are_counted_together():
-    r, saved = record()
+    traffic_record, saved = record()
     occupancies = []
     for n in range(3 * MAX_ROUTES):
-        r.attempt_received(1.0, n, "x", False)
-        occupancies.append(r.attempt_settled(2.0, n, n, "x", "carried", 1.0, False))
+        traffic_record.attempt_received(1.0, n, "x", False)
+        occupancies.append(traffic_record.attempt_settled(2.0, n, n, "x", "carried", 1.0, False))
     for occupancy in occupancies:
-        r.call_ended(3.0, occupancy, 1.0)
-    r.roll_over(1000.0)
+        traffic_record.call_ended(3.0, occupancy, 1.0)
+    traffic_record.roll_over(1000.0)
     (entry,) = saved
     for table, key in (("arrivals", "dest"), ("routes", "tried"), ("occupied", "cell")):
         assert len(entry[table]) == MAX_ROUTES + 1
         assert entry[table][-1][key] == OTHER
     assert entry["routes"][-1]["carried"] == 2 * MAX_ROUTES
     assert sum(o["ended"] for o in entry["occupied"]) == 3 * MAX_ROUTES
-    r.roll_over(2000.0)
+    traffic_record.roll_over(2000.0)
     assert not saved[1]["occupied"]  # occupancies without active calls are dropped
 
 
 def test_a_file_truncated_at_any_byte_is_read_up_to_its_last_complete_entry(tmp_path):
-    path, cut = tmp_path / "a.whtr", tmp_path / "cut.whtr"
+    path, damaged = tmp_path / "a.whtr", tmp_path / "cut.whtr"
     writer, ends = Writer(path, {"name": "n0"}, 1 << 20), []
     for n in range(3):
         writer.write({"n": n})
@@ -88,31 +88,31 @@
     writer.close()
     data = path.read_bytes()
     for size in range(len(data) + 1):
-        cut.write_bytes(data[:size])
-        found = read(cut)
-        assert [e["n"] for e in found.entries] == [n for n, end in enumerate(ends) if end <= size]
-        complete = found.valid_bytes == size and size > 0
-        assert bool(found.stop_reason) != complete
+        damaged.write_bytes(data[:size])
+        contents = read(damaged)
+        assert [e["n"] for e in contents.entries] == [n for n, end in enumerate(ends) if end <= size]
+        complete = contents.valid_bytes == size and size > 0
+        assert bool(contents.stop_reason) != complete
     for at in range(6, len(data)):  # reading stops at a corrupt byte, with a reason
-        cut.write_bytes(data[:at] + bytes((data[at] ^ 0x40,)) + data[at + 1 :])
-        found = read(cut)
-        assert found.stop_reason
-        assert [e["n"] for e in found.entries] == [n for n, end in enumerate(ends) if end <= at]
+        damaged.write_bytes(data[:at] + bytes((data[at] ^ 0x40,)) + data[at + 1 :])
+        contents = read(damaged)
+        assert contents.stop_reason
+        assert [e["n"] for e in contents.entries] == [n for n, end in enumerate(ends) if end <= at]
     # Reading stops at intact frames that were exchanged.
     first = FRAME.unpack_from(data, ends[0])[0] + FRAME.size
-    cut.write_bytes(data[: ends[0]] + data[ends[0] + first :] + data[ends[0] : ends[0] + first])
-    assert [e["n"] for e in read(cut).entries] == [0]
+    damaged.write_bytes(data[: ends[0]] + data[ends[0] + first :] + data[ends[0] : ends[0] + first])
+    assert [e["n"] for e in read(damaged).entries] == [0]
     # A writer of a truncated file continues after its last complete entry.
-    cut.write_bytes(data[:-3])
-    writer = Writer(cut, {"name": "n1"}, 1 << 20)
+    damaged.write_bytes(data[:-3])
+    writer = Writer(damaged, {"name": "n1"}, 1 << 20)
     writer.write({"n": 9})
     writer.close()
-    assert [e["n"] for e in read(cut).entries] == [0, 1, 9]
-    assert not read(cut).stop_reason
-    assert [h["name"] for h in read(cut).heads] == ["n0", "n1"]
+    assert [e["n"] for e in read(damaged).entries] == [0, 1, 9]
+    assert not read(damaged).stop_reason
+    assert [h["name"] for h in read(damaged).heads] == ["n0", "n1"]
 
 
-def test_other_files_versions_and_sizes(tmp_path):
+def test_other_files_and_versions_are_rejected_and_the_file_size_is_bounded(tmp_path):
     path = tmp_path / "a.whtr"
     for data, message in ((b"hello, world", "not a traffic record"), (b"WHTR\x00\x09", "version 9")):
         path.write_bytes(data)
@@ -157,11 +157,11 @@
         ("# " + "x" * (300 << 10), "bytes; at most"),
     ],
 )
-def test_a_bad_operator_file_is_one_line_with_its_place(text, message):
-    with pytest.raises(OperatorFileError) as e:
+def test_a_bad_operator_file_is_reported_in_one_line_with_its_place(text, message):
+    with pytest.raises(OperatorFileError) as caught:
         parse_text(text, "f.star")
-    assert message in str(e.value)
-    assert "\n" not in str(e.value)
+    assert message in str(caught.value)
+    assert "\n" not in str(caught.value)
 
 
 def test_the_shipped_operator_file_enables_nothing(capsys):
@@ -206,11 +206,11 @@
         s.play("c8 send OPTIONS\nc8 expect 200 OK\np send SIGTERM\np expect 0")
         lines = [json.loads(line) for line in s.log_text().splitlines()]
         assert {line["record"]["extra"]["softswitch"] for line in lines} == {"n0"}
-    found = read(file)
-    assert len(found.heads) == 2
-    assert len(found.entries) > len(before.entries)
+    contents = read(file)
+    assert len(contents.heads) == 2
+    assert len(contents.entries) > len(before.entries)
     sums, first, redials = {}, 0, 0
-    for entry in found.entries:
+    for entry in contents.entries:
         for a in entry["arrivals"]:
             first, redials = first + sum(a["first"]), redials + sum(a["redials"])
         for r in entry["routes"]:
@@ -218,7 +218,7 @@
                 sums[outcome] = sums.get(outcome, 0) + r[outcome]
     assert (first, redials) == (3, 1)
     assert sums == {"carried": 2, "blocked": 1, "given_up": 1}
-    assert sum(o["ended"] for e in found.entries for o in e["occupied"]) == 1
+    assert sum(o["ended"] for e in contents.entries for o in e["occupied"]) == 1
 
 
 def test_failed_writes_are_logged_once_and_the_softswitch_keeps_serving(tmp_path):
@@ -244,30 +244,30 @@
 def test_a_hanging_disk_does_not_block_the_event_loop():
     released, written = threading.Event(), []
 
-    class Slow:
+    class HangingWriter:
         def write(self, entry):
             released.wait(20)
             written.append(entry)
 
     switch = SimpleNamespace(counters=Counter(), wheel=TimerWheel(5.0, lambda: 0.0))
-    started = []
+    threads = []
 
     def in_thread(work):
-        started.append(threading.Thread(target=work))
-        started[-1].start()
+        threads.append(threading.Thread(target=work))
+        threads[-1].start()
 
-    r = Recording(switch, Slow(), 1000.0, 100.0, lambda now: now, in_thread, {})
-    began = time.monotonic()
+    recording = Recording(switch, HangingWriter(), 1000.0, 100.0, lambda now: now, in_thread, {})
+    started_at = time.monotonic()
     for n in range(30):
-        r._save({"n": n})
-    assert time.monotonic() - began < 2
-    assert len(r.pending) == MAX_PENDING_INTERVALS
+        recording._save({"n": n})
+    assert time.monotonic() - started_at < 2
+    assert len(recording.pending) == MAX_PENDING_INTERVALS
     assert switch.counters["record intervals"] + switch.counters["record intervals lost"] == 30
     released.set()
-    for thread in started:
+    for thread in threads:
         thread.join(10)
     assert len(written) == switch.counters["record intervals"]
-    assert not r.pending
+    assert not recording.pending
 
 
 def test_optional_packages_are_not_loaded_without_need():
@@ -276,20 +276,20 @@
         "print(*[m for m in ('starlark', 'msgspec', 'hdrh', 'xxhash', 'numpy', 'scipy', 'typer', 'rich',"
         " 'highspy', 'matplotlib', 'softswitch.operator', 'softswitch.measure') if m in sys.modules])"
     )
-    ran = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code],
         capture_output=True,
         text=True,
         timeout=30,
         cwd=Path(__file__).parent.parent,
     )
-    assert ran.returncode == 0 and ran.stdout.strip() == "", ran
+    assert result.returncode == 0 and result.stdout.strip() == "", result
 
 
 def test_demo_carries_calls_and_leaves_no_process_running(tmp_path):
     record_file = tmp_path / "kept.whtr"
-    began = time.monotonic()
-    ran = subprocess.run(
+    started_at = time.monotonic()
+    result = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -309,13 +309,13 @@
         env=os.environ | {"TMPDIR": str(tmp_path)},
         cwd=Path(__file__).parent.parent,
     )
-    assert ran.returncode == 0, ran.stderr
-    output = json.loads(ran.stdout)
+    assert result.returncode == 0, result.stderr
+    output = json.loads(result.stdout)
     assert output["callers"]["calls"] > 40
     assert output["callers"]["unanswered"] == 0
     assert output["callers"]["second_answers"] == output["callers"]["wrong_description"] == 0
     assert sum(r["carried"] + r["late"] for r in output["traffic"]["routes"]) == output["callers"]["carried"]
-    assert time.monotonic() - began < 30
+    assert time.monotonic() - started_at < 30
     assert list(tmp_path.iterdir()) == [record_file]
     processes = subprocess.run(["ps", "ax", "-o", "args"], capture_output=True, text=True).stdout
     assert not any(str(tmp_path) in line for line in processes.splitlines())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -86,20 +86,20 @@
     c.handle(20001.0, i.EndpointsChanged(i.UpdateKind.CHANGES, (endpoint("a", 0, started_at=20000.0),)))
     c.gates["b"].closed_until = 1e9  # the whole burst goes to the warming endpoint
     sent = burst_to_warming(c, 20010.0)
-    assert sent  # it is used
-    share = (1 / 4 + 400 / 800) / 2  # mean of the equal share and the share of established calls
-    assert len(sent) < share * 50 * 0.3 * 2.5  # below its fraction of the rate that causes an overload
-    assert len(burst_to_warming(c, 46000.0)) > 100  # it has been warm for ten seconds
+    assert sent  # the endpoint is used
+    fraction = (1 / 4 + 400 / 800) / 2  # mean of an equal fraction and the fraction of established calls
+    assert len(sent) < fraction * 50 * 0.3 * 2.5  # below its fraction of the rate that causes an overload
+    assert len(burst_to_warming(c, 46000.0)) > 100  # the endpoint has been warm for 10 s
 
 
 def test_two_processes_of_one_softswitch_have_half_of_a_slow_start_budget_each():
-    def sent(share):
+    def sent(fraction):
         c = start_controller(("a", "b"))
         for k in range(200):
             for d, s in enumerate("ab"):
                 call(c, k * 100.0, f"w{s}{k}", dest=d)
                 answer(c, k * 100.0 + 30, f"w{s}{k}", s)
-        c.handle(20000.0, i.SettingsChanged(replace(c.settings, slow_start_share=share)))
+        c.handle(20000.0, i.SettingsChanged(replace(c.settings, slow_start_share=fraction)))
         c.handle(20001.0, i.EndpointsChanged(i.UpdateKind.CHANGES, (endpoint("a", 0, started_at=20000.0),)))
         c.gates["b"].closed_until = 1e9
         return len(burst_to_warming(c, 20010.0, duration=2000.0))
@@ -168,46 +168,47 @@
 
 def run_random_events(seed, steps=2500):
     """Handles random events in random order; checks the rules that one softswitch alone can violate."""
-    rnd = random.Random(seed)
+    rng = random.Random(seed)
     names = ("a", "b", "c")
-    c = start_controller(names, seed=seed, max_attempts=rnd.choice((1, 2, 4)), may_cancel=rnd.random() < 0.8)
+    c = start_controller(names, seed=seed, max_attempts=rng.choice((1, 2, 4)), may_cancel=rng.random() < 0.8)
     now, in_flight, unanswered, ready, states, log = 0.0, {}, {}, {}, {}, []
     timers, n, count = [], 0, {}
     for step in range(steps):
         due = sorted((t for t in timers if t.at <= now), key=lambda t: (t.at, t.token))
         if not due:
-            now += rnd.choice((0.0, 5.0, 5.0, 30.0))
-        draw = rnd.random()
+            now += rng.choice((0.0, 5.0, 5.0, 30.0))
+        draw = rng.random()
         if due:
             timers.remove(due[0])
             event = i.TimerFired(due[0].token)
         elif draw < 0.45:
             n += 1
-            call_class, timeout = rnd.choice(("plain", "priority")), rnd.choice((300.0, 3000.0))
-            event = i.SetupRequested(f"c{n}", call_class, rnd.randrange(3), timeout, rnd.random() < 0.3)
+            call_class, timeout = rng.choice(("plain", "priority")), rng.choice((300.0, 3000.0))
+            event = i.SetupRequested(f"c{n}", call_class, rng.randrange(3), timeout, rng.random() < 0.3)
             unanswered[event.call] = now + event.timeout
         elif draw < 0.9 and in_flight:
-            key = rnd.choice(sorted(in_flight))
+            key = rng.choice(sorted(in_flight))
             server = in_flight.pop(key)
-            if rnd.random() < 0.6:
+            if rng.random() < 0.6:
                 event = i.AttemptAnswered(*key, server, 10.0)
                 unanswered.pop(key[0], None)
             else:
-                outcome = rnd.choice([outcome for outcome in i.Outcome if outcome is not i.Outcome.OK])
+                outcome = rng.choice([outcome for outcome in i.Outcome if outcome is not i.Outcome.OK])
                 event = i.AttemptEnded(
-                    *key, server, outcome, 10.0, processor_full=rnd.random() < 0.5, retry_after=100.0
+                    *key, server, outcome, 10.0, processor_full=rng.random() < 0.5, retry_after=100.0
                 )
                 if outcome in (i.Outcome.TIMEOUT, i.Outcome.RESET, i.Outcome.CANCELLED):
                     ready[key[0]] = now + 300.0
         elif draw < 0.95:
-            s = rnd.choice(names)
-            state = rnd.choice(list(i.EndpointState))
-            states[s] = state
+            changed = rng.choice(names)
+            state = rng.choice(list(i.EndpointState))
+            states[changed] = state
             event = i.EndpointsChanged(
-                i.UpdateKind.CHANGES, (endpoint(s, names.index(s), state, rnd.choice((0.0, now))),)
+                i.UpdateKind.CHANGES,
+                (endpoint(changed, names.index(changed), state, rng.choice((0.0, now))),),
             )
         else:
-            abandoned = rnd.choice(sorted(unanswered) or ["none"])
+            abandoned = rng.choice(sorted(unanswered) or ["none"])
             unanswered.pop(abandoned, None)
             event = i.CallerAbandoned(abandoned)
         for a in c.handle(now, event):
@@ -247,9 +248,9 @@
             [sys.executable, "-c", code],
             check=True,
             capture_output=True,
-            env=os.environ | {"PYTHONHASHSEED": h, "PYTHONPATH": path},
+            env=os.environ | {"PYTHONHASHSEED": hash_seed, "PYTHONPATH": path},
         ).stdout
-        for h in ("0", "1", "77")
+        for hash_seed in ("0", "1", "77")
     }
     assert len(outputs) == 1
 
@@ -292,15 +293,15 @@
         if detected_by == "circuits":
             report_circuits(c, 19900.0, "a")
             report_circuits(c, 20900.0, "a", free=480.0)
-        rnd = random.Random(c.random.random())
+        rng = random.Random(c.random.random())
         t = 20900.0
         while t < 25000.0:
-            t += rnd.expovariate(1.0) * (350.0 if n > 100 else 100.0)
+            t += rng.expovariate(1.0) * (350.0 if n > 100 else 100.0)
             actions = c.handle(t, i.TimerFired(0)) + call(c, t, f"n{t}", timeout=9000.0)
             for a in sent_attempts(actions):
                 sent += [t] if a.server == "a" else []
                 answer(c, t, a.call, a.server)
-    assert sent  # it is used
+    assert sent  # the endpoint is used
     for start in range(20900, 24000, 100):
         level = 0.3 ** (1 - (start + 1000 - 20000) / 15000)
         assert sum(start <= t < start + 1000 for t in sent) < 2.5 * level * capacity
@@ -319,7 +320,7 @@
     assert sent_attempts(call(c, 201.0, "next")) == [i.SendAttempt("next", "a")]
 
 
-def test_circuits_freed_by_a_replaced_endpoint_are_no_crash():
+def test_circuits_freed_by_a_replaced_endpoint_cause_no_slow_start():
     c = start_controller(("a", "b"))
     c.handle(10.0, i.EndpointsChanged(i.UpdateKind.CHANGES, (endpoint("a2", 0, started_at=5.0),)))
     c.handle(20.0, i.EndpointsChanged(i.UpdateKind.CHANGES, (endpoint("a", 0, i.EndpointState.DRAINING),)))
--- a/tests/test_unsent_calls.py
+++ b/tests/test_unsent_calls.py
@@ -7,11 +7,11 @@
 ticks the sweeps are 51 ms or more apart, so sometimes the timer of the deadline ran first. It reported a
 failure for every call, whatever had run.
 
-Three trials (12,000 calls each, six ticks) separated the causes. With the sweep at exactly the right time no
-call failed, but over 1,100 did with timers up to 80 ms late. With the result derived from what had run, no
-result of the module was wrong, late or not. 6 wrong results remained at a tick of 20 ms; the switch's own
-guard had given them (`guard: overdue`). So the cause was the choice of the result, in both places. The late
-sweep only exposed it.
+The cause is that the timer did not check whether an attempt had run; the late sweep only exposed it. Three
+trials of 12,000 calls each, at six ticks, showed this. With sweeps at exactly the right time no call failed,
+but over 1,100 did with timers up to 80 ms late. With a result that depends on what had run, the decision
+module gave no wrong result, late or not. 6 wrong results remained at a tick of 20 ms: the switch's own guard,
+which gave them (`guard: overdue`), had the same fault.
 """
 
 from dataclasses import dataclass, field
