--- a/tests/test_release_delivery.py
+++ b/tests/test_release_delivery.py
@@ -31,7 +31,7 @@
         self.open, self.silent, self.in_flight, self.read = {}, set(), [], {}
         self.opened = self.calls = 0
         self.call_ended_at = {}  # by call
-        self.reachable_since = {}  # by call: start of the current time with a connection that is read
+        self.reachable_from = {}  # by call: since when, without a break, some connection is read
 
     def transmit(self, messages):
         for message in messages:
@@ -88,21 +88,25 @@
     def pass_time(self, ms):
         for _ in range(ms):
             self.now += 1.0
-            for f in [f for f in self.in_flight if f[0] <= self.now and f[1] not in self.silent]:
-                self.in_flight.remove(f)
-                self.read.setdefault(f[2], self.now)
-                self.queue.acknowledge(f[2])
+            for transmission in [
+                transmission
+                for transmission in self.in_flight
+                if transmission[0] <= self.now and transmission[1] not in self.silent
+            ]:
+                self.in_flight.remove(transmission)
+                self.read.setdefault(transmission[2], self.now)
+                self.queue.acknowledge(transmission[2])
             if self.now % 100 == 0:
                 self.transmit(self.queue.advance(self.now))
             reading = set(self.open) - self.silent
             for call, ended_at in self.call_ended_at.items():
                 if call not in self.read and reading:
-                    self.reachable_since.setdefault(call, self.now)
+                    self.reachable_from.setdefault(call, self.now)
                 elif not reading:
-                    self.reachable_since.pop(call, None)
+                    self.reachable_from.pop(call, None)
                 # A release is read within 1 s if a connection is read: three transmissions 300 ms apart,
                 # checked every 100 ms.
-                late = self.now - self.reachable_since.get(call, self.now)
+                late = self.now - self.reachable_from.get(call, self.now)
                 if call not in self.read and late > 1_000 and self.now - ended_at < EXPIRES_AFTER - 1_000:
                     raise AssertionError(f"{call} ended at {ended_at}, release not read at {self.now}")
         self.check()
