--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The call-control API: edge cases, and 10,000 calls by it and by SIP. See tests/support/harness.py."""
+"""The call-control API: edge cases, and 10,000 calls, half by it and half by SIP. See support/harness.py."""
 
 import json
 import socket
@@ -166,12 +166,12 @@
                 flood.append(socket.create_connection(s.web))
                 s.pump(0.01)
             s.play("w0 send place 1\nw0 expect setting_up\ne0 expect SET_UP {1}")
-            began = time.monotonic()
+            started_at = time.monotonic()
             for sock in flood:
                 sock.settimeout(4.0)
                 with contextlib.suppress(ConnectionError):
                     assert sock.recv(1) == b""
-            assert time.monotonic() - began < 4.0
+            assert time.monotonic() - started_at < 4.0
 
     def test_rejected_and_failed_calls_end_with_their_code(self):
         self.play('w0 send place 1 class="strange"\nw0 expect setting_up\nw0 expect "code":"refused"')
@@ -192,8 +192,8 @@
             )
             del s.parties["w0"]  # the test stops reading its messages
             sock.settimeout(0.2)
-            began = time.monotonic()
-            while "control client" not in s.log_text() and time.monotonic() - began < 20:
+            started_at = time.monotonic()
+            while "control client" not in s.log_text() and time.monotonic() - started_at < 20:
                 with contextlib.suppress(OSError):
                     sock.sendall(watches)
                 s.pump(0.01)
@@ -225,21 +225,25 @@
             stage.__exit__()
 
 
-KINDS = {
-    "a": "the engine ends it",
-    "b": "the caller ends it",
-    "c": "its circuits are busy",
-    "d": "given up",
-    "f": "cut by the engine",
+ENDINGS = {  # how a call ends, by the last letter of its number
+    "a": "the engine releases it",
+    "b": "the caller releases it",
+    "c": "the called number is busy",
+    "d": "the caller abandons its setup",
+    "f": "the engine releases it because of a failure",
 }
 
 
-def kind_of(n):
+def ending_of(n):
+    """Returns the ending, a key of ENDINGS, of the two calls with number `n`."""
     return "f" if n % 50 == 7 else "d" if n % 20 == 3 else "c" if n % 10 == 5 else "b" if n % 3 else "a"
 
 
 class SideBySide(unittest.TestCase):
-    """Each number is called once by SIP and once over WebSocket; the number determines the call's end."""
+    """Each number is called once by SIP and once over WebSocket; the number determines how its calls end.
+
+    Calls with even ids are made by SIP, those with odd ids over WebSocket.
+    """
 
     EACH, MAX_OPEN, SECONDS = 5_000, 24, 120.0
 
@@ -277,7 +281,7 @@
         self.check()
 
     def place(self, n):
-        call, number, party = call_id(n), f"{n // 2:x}{kind_of(n // 2)}", "cw"[n % 2] + str(n // 2 % 4)
+        call, number, party = call_id(n), f"{n // 2:x}{ending_of(n // 2)}", "cw"[n % 2] + str(n // 2 % 4)
         self.open.add(call)
         if party[0] == "c":
             facts = f"X-Patience=30000 X-Facts=dest:{n // 2 % 2}"
@@ -293,29 +297,30 @@
         self.open.discard(call)
 
     def received(self, name, message):
-        getattr(self, {"c": "sip", "w": "web", "e": "engine", "b": "board"}[name[0]])(name, message)
+        """The hook of the stage: passes the message to the method for its type of party."""
+        getattr(self, {"c": "sip", "w": "web", "e": "engine", "b": "watch_server"}[name[0]])(name, message)
 
-    def board(self, name, message):
+    def watch_server(self, name, message):
         pass
 
     # the callers
 
     def call_established(self, name, call, description):
-        if call in self.done or self.seen.setdefault(call, description) is not description:
+        if call in self.done or self.descriptions.setdefault(call, description) is not description:
             self.violations.append(f"{call} established twice or after its end")
-        if kind_of(int(call, 16) // 2) == "b":
+        if ending_of(int(call, 16) // 2) == "b":
             self.stage.party(name).send(f"{'BYE' if name[0] == 'c' else 'release'} {int(call, 16)}")
             if name[0] == "c":
                 self.finish(call, "stood", description, "ended by the caller")
 
     def setUp(self):
-        self.seen = {}
+        self.descriptions = {}
 
     def sip(self, name, message):
         call = (message.partition("Call-ID: ")[2] + "|")[:16]
         if message.startswith("BYE"):
             cause = int(message.partition("cause=")[2].split("|")[0])
-            self.finish(call, "stood", self.seen.get(call), cause)
+            self.finish(call, "stood", self.descriptions.get(call), cause)
         elif "CSeq: 1 INVITE" in message:
             if message.startswith("SIP/2.0 200"):
                 self.call_established(name, call, message.partition("||")[2])
@@ -327,23 +332,23 @@
         call, event = fields["id"], fields["event"]
         if event == "stands":
             self.call_established(name, call, b64decode(fields["description_b64"]).decode("latin-1"))
-        elif event == "released" and kind_of(int(call, 16) // 2) == "b":
-            self.finish(call, "stood", self.seen.get(call), "ended by the caller")
+        elif event == "released" and ending_of(int(call, 16) // 2) == "b":
+            self.finish(call, "stood", self.descriptions.get(call), "ended by the caller")
         elif event == "released":
-            self.finish(call, "stood", self.seen.get(call), fields["cause"])
+            self.finish(call, "stood", self.descriptions.get(call), fields["cause"])
         elif event == "turned_away" and fields["code"] != "given_up":
             self.finish(call, fields["code"], "later_ms" in fields)
         elif event not in ("setting_up", "turned_away"):
             self.violations.append(message)
 
-    # the quote engines; they keep the records from which the rules are checked
+    # the quote engines, which keep the records that `check` needs
 
     def engine(self, name, message):
-        kind, call, *words = message.split(" ")
+        message_type, call, *parameters = message.split(" ")
         n = int(call, 16)
-        if kind == "SET_UP":
-            fields = dict(word.split("=", 1) for word in words)
-            expected = kind_of(n // 2)
+        if message_type == "SET_UP":
+            fields = dict(word.split("=", 1) for word in parameters)
+            expected = ending_of(n // 2)
             if call in self.attempts or call in self.established or call in self.done:
                 self.violations.append(
                     f"{call} sent while an attempt is in flight, or while established or over"
@@ -370,9 +375,9 @@
                 if expected != "b":
                     del self.established[call]
                     send(f"RELEASE {n} 31={16 if expected == 'a' else 41}")
-        elif kind == "RELEASE":
+        elif message_type == "RELEASE":
             self.releases[call] += 1
-            if (self.attempts if kind_of(n // 2) == "d" else self.established).pop(call, None) != name:
+            if (self.attempts if ending_of(n // 2) == "d" else self.established).pop(call, None) != name:
                 self.violations.append(f"{call}: release without an attempt or a call")
 
     def check(self):
@@ -387,6 +392,6 @@
         }
         for k in range(self.EACH):
             by_sip, by_web = self.done[call_id(2 * k)], self.done[call_id(2 * k + 1)]
-            assert by_sip == by_web == expected[kind_of(k)](k), (k, by_sip, by_web)
+            assert by_sip == by_web == expected[ending_of(k)](k), (k, by_sip, by_web)
             assert max(self.sends[call_id(2 * k + x)] for x in (0, 1)) <= 3  # attempts, by the settings
-        assert Counter(map(kind_of, range(self.EACH))).keys() == KINDS.keys()
+        assert Counter(map(ending_of, range(self.EACH))).keys() == ENDINGS.keys()
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -18,16 +18,16 @@
 
 
 class Collector(HTTPServer):
-    """Stores the exports that it receives; answers each after `slow` seconds."""
+    """An OTLP collector that stores the exports it receives and answers each after `slow` seconds."""
 
     def __init__(self, slow=0.0):
-        got, self.got = [], []
+        exports, self.exports = [], []
 
         class Handler(BaseHTTPRequestHandler):
             def do_POST(self):
                 body = self.rfile.read(int(self.headers["Content-Length"]))
                 time.sleep(slow)
-                got.append((self.path, ExportMetricsServiceRequest.FromString(body)))
+                exports.append((self.path, ExportMetricsServiceRequest.FromString(body)))
                 self.send_response(200)
                 self.end_headers()
 
@@ -35,7 +35,7 @@
                 pass
 
         super().__init__(("127.0.0.1", 0), Handler)
-        self.got = got
+        self.exports = exports
         Thread(target=self.serve_forever, daemon=True).start()
 
     @property
@@ -44,7 +44,7 @@
 
     def latest(self):
         """Returns the metrics of the latest export, by name."""
-        _, request = self.got[-1]
+        _, request = self.exports[-1]
         return {m.name: m for r in request.resource_metrics for s in r.scope_metrics for m in s.metrics}
 
 
@@ -75,13 +75,13 @@
             p.attributes[0].value.string_value: p.as_int
             for p in metrics["willowhitch.events"].sum.data_points
         }
-        assert collector.got[-1][0] == "/v1/metrics"
+        assert collector.exports[-1][0] == "/v1/metrics"
         assert (counts["set-ups"], counts["stood"], counts["ended"]) == (3, 3, 3)
         for duration in ("set-up", "call"):
             (point,) = metrics[f"willowhitch.{duration}.duration"].histogram.data_points
             assert point.count == 3
             assert 0 <= point.sum < 5000
-        attributes = collector.got[-1][1].resource_metrics[0].resource.attributes
+        attributes = collector.exports[-1][1].resource_metrics[0].resource.attributes
         assert {a.key: a.value.string_value for a in attributes}["service.instance.id"] == "n0"
 
     def test_a_collector_that_is_down_or_hangs_delays_no_calls(self):
@@ -90,9 +90,9 @@
             with self.subTest(endpoint), Stage(env=telemetry(endpoint)) as s:
                 until, n, max_duration = time.monotonic() + 2.5, 0, 0.0
                 while time.monotonic() < until:
-                    n, began = n + 1, time.monotonic()
+                    n, started_at = n + 1, time.monotonic()
                     s.play(CALL.format(n=n))
-                    max_duration = max(max_duration, time.monotonic() - began)
+                    max_duration = max(max_duration, time.monotonic() - started_at)
                 assert n > 50 and max_duration < 0.5, (n, max_duration)
                 assert s.log_text().count("telemetry") <= 1, s.log_text()  # at most one line per minute
                 s.play("p send SIGTERM")
@@ -197,9 +197,9 @@
 
     def test_the_restart_delay_doubles_for_an_instance_that_exits_at_once(self):
         self.stages[0].config.write_text("{}")
-        began = time.monotonic()
+        started_at = time.monotonic()
         self.until(lambda s: s["n0"]["starts"] >= 3)
-        assert time.monotonic() - began > 1.4  # the first delay is 0.5 s, the second 1 s
+        assert time.monotonic() - started_at > 1.4  # the first delay is 0.5 s, the second 1 s
         self.until(lambda s: s["n1"]["state"] == "running")
 
     def test_an_invalid_file_or_message_is_reported_in_one_line(self):
@@ -211,13 +211,13 @@
         ):
             bad = Path(self.dir.name, "bad.toml")
             bad.write_text(text)
-            ran = subprocess.run(
+            result = subprocess.run(
                 [sys.executable, "-m", "softswitch.cli", "agent", str(bad)],
                 cwd=ROOT,
                 capture_output=True,
                 text=True,
                 timeout=20,
             )
-            assert ran.returncode == 2 and ran.stderr.count("\n") == 1, ran.stderr
+            assert result.returncode == 2 and result.stderr.count("\n") == 1, result.stderr
         self.until(lambda s: True)
         assert "error" in cli.send_request(self.socket, "dance", None)
