--- a/tests/test_slow_start_processes.py
+++ b/tests/test_slow_start_processes.py
@@ -26,8 +26,8 @@
         self.sent = []
         self.transport = type("Transport", (), {"abortConnection": lambda me: None, "connected": True})()
 
-    def send(self, kind, call, *parameters):
-        self.sent.append((kind, call))
+    def send(self, message_type, call, *parameters):
+        self.sent.append((message_type, call))
 
 
 def listening_engine(**more):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -24,7 +24,7 @@
 
 CALL, A, B = "00000000000000aa", "s-00000001", "s-00000002"
 FIELDS = SetupFields("class-0", "77", b"v=0")
-PATIENCE, CLEAR_WAIT, LAG = 1.0, 0.2, 0.01
+PATIENCE, RETRY_DELAY, LAG = 1.0, 0.2, 0.01  # s; PATIENCE: timeout of the caller
 SECONDS = 20.0  # length of the soaks run here
 INJECTED_FAULTS = {  # seed, length in s, and the violated rule
     "drain-taken-for-ready": (102, "12", Rule.DRAINED),
@@ -33,7 +33,7 @@
 
 
 def make_checker(idempotent=True):
-    checker = Checker(CLEAR_WAIT, max_attempts=2)
+    checker = Checker(RETRY_DELAY, max_attempts=2)
     surroundings = checker.surroundings_of("n0")
     surroundings.process_started(-100.0, "n0.0")
     surroundings.process_ready(-99.0, "n0.0")
@@ -43,13 +43,13 @@
 
 
 def violated_rules(checker):
-    return [broken.rule for broken in checker.violations]
+    return [violation.rule for violation in checker.violations]
 
 
-def attempt(checker, at, engine, ended=None, may_have_run=True):
+def attempt(checker, at, engine, ended_at=None, may_have_run=True):
     checker.attempt_received(at, CALL, engine, LAG)
-    if ended is not None:
-        checker.attempt_ended(ended, CALL, engine, "over", may_have_run)
+    if ended_at is not None:
+        checker.attempt_ended(ended_at, CALL, engine, "over", may_have_run)
 
 
 def established(checker, at=0.1):
@@ -61,16 +61,16 @@
 
 
 def test_a_late_or_missing_answer_is_a_violation():
-    for at, broken in (
+    for at, expected in (
         (PATIENCE + ANSWER_ALLOWANCE, []),
         (PATIENCE + ANSWER_ALLOWANCE + 0.1, [Rule.ANSWERED]),
     ):
         checker = make_checker()
         checker.answer_received(at, CALL, 503, LAG)
-        assert violated_rules(checker) == broken
+        assert violated_rules(checker) == expected
     checker = make_checker()
     checker.answer_timed_out(PATIENCE + ANSWER_ALLOWANCE, CALL)
-    checker.answer_received(PATIENCE + 1.0, CALL, 503, LAG)  # is not counted again
+    checker.answer_received(PATIENCE + 1.0, CALL, 503, LAG)  # not counted again
     assert violated_rules(checker) == [Rule.ANSWERED]
     assert checker.violations[0].events == ("0.000 set-up, waits 1.000 s", "1.500 given up")
 
@@ -89,24 +89,26 @@
 
 
 @pytest.mark.parametrize(
-    ("ended", "killed", "stopped", "broken"),
+    ("closed_at", "killed", "stop_requested_at", "expected"),
     [
         (0.5, False, None, [Rule.LOST]),
         (CROSSING_WINDOW / 2, False, None, []),  # the setup may not have been read
-        (0.5, True, -0.5, []),  # sent within 0.7 s of SIGTERM: exempt
-        (0.5, True, -0.8, [Rule.LOST]),  # sent later
+        (0.5, True, -0.5, []),  # sent 0.5 s after SIGTERM: exempt up to 0.7 s
+        (0.5, True, -0.8, [Rule.LOST]),  # sent 0.8 s after SIGTERM
         (0.5, False, -0.5, [Rule.LOST]),  # a connection closed without SIGKILL is not exempt
     ],
 )
-def test_a_setup_that_is_unanswered_when_its_connection_closes(ended, killed, stopped, broken):
+def test_a_setup_that_is_unanswered_when_its_connection_closes_is_a_violation(
+    closed_at, killed, stop_requested_at, expected
+):
     checker = make_checker()
-    if stopped is not None:
-        checker.stop_requested(stopped, "n0.0")
-    checker.connection_closed(ended, [CALL], killed)
-    assert violated_rules(checker) == broken
+    if stop_requested_at is not None:
+        checker.stop_requested(stop_requested_at, "n0.0")
+    checker.connection_closed(closed_at, [CALL], killed)
+    assert violated_rules(checker) == expected
 
 
-def test_two_attempts_in_flight_at_once():
+def test_two_attempts_in_flight_at_once_are_a_violation():
     checker = make_checker()
     attempt(checker, 0.1, A)
     attempt(checker, 0.4, B)
@@ -121,46 +123,46 @@
 
 
 @pytest.mark.parametrize(
-    ("gap", "may_have_run", "broken"),
+    ("gap", "may_have_run", "expected"),
     [
-        (CLEAR_WAIT - 0.05, True, [Rule.QUIET_TIME]),
-        (CLEAR_WAIT, True, []),
+        (RETRY_DELAY - 0.05, True, [Rule.QUIET_TIME]),
+        (RETRY_DELAY, True, []),
         (0.0, False, []),  # a rejection: nothing ran
     ],
 )
-def test_an_attempt_within_the_retry_delay(gap, may_have_run, broken):
+def test_an_attempt_within_the_retry_delay_is_a_violation(gap, may_have_run, expected):
     checker = make_checker()
     attempt(checker, 0.1, A, 0.2, may_have_run)
     attempt(checker, 0.2 + gap, B, 0.9)
     checker.advance(2.0, LAG)
-    assert violated_rules(checker) == broken
+    assert violated_rules(checker) == expected
 
 
-def test_more_attempts_than_the_settings_allow():
+def test_more_attempts_than_the_settings_allow_are_a_violation():
     checker = make_checker()
     for n in range(3):
         attempt(checker, n / 10, A, n / 10, may_have_run=False)
     assert violated_rules(checker) == [Rule.ATTEMPTS]
 
 
-def test_a_retry_of_a_call_that_must_not_run_twice():
-    for may_have_run, broken in ((True, [Rule.REPEATED]), (False, [])):
+def test_a_retry_of_a_call_that_must_not_run_twice_is_a_violation():
+    for may_have_run, expected in ((True, [Rule.REPEATED]), (False, [])):
         checker = make_checker(idempotent=False)
         attempt(checker, 0.1, A, 0.2, may_have_run)
         attempt(checker, 0.5, B, 0.6)
-        assert violated_rules(checker) == broken
+        assert violated_rules(checker) == expected
 
 
-def test_a_setup_long_after_the_drain():
-    for after, broken in ((DRAIN_ALLOWANCE, []), (DRAIN_ALLOWANCE + 0.1, [Rule.DRAINED])):
+def test_a_setup_long_after_the_drain_is_a_violation():
+    for after, expected in ((DRAIN_ALLOWANCE, []), (DRAIN_ALLOWANCE + 0.1, [Rule.DRAINED])):
         checker = make_checker()
         checker.engine_drained(-10.0, A)
         attempt(checker, -10.0 + after, A, 0.0)
-        assert violated_rules(checker) == broken
+        assert violated_rules(checker) == expected
 
 
 def violates_drain_rule(at, prepare):
-    """Whether a setup at second 20 violates the rule, with a drain at `at`; `prepare` sets surroundings."""
+    """Whether a setup at second 20 violates the rule after a drain at `at`; `prepare` sets surroundings."""
     checker = make_checker()
     prepare(checker.surroundings_of("n0"))
     checker.engine_drained(at, A)
@@ -195,8 +197,8 @@
         (replaced, 9.0, True),
         (replaced, 14.0, True),  # notified REPLACEMENT_DELAY after it is ready, at 17
     ]
-    for prepare, at, broken in cases:
-        assert violates_drain_rule(at, prepare) is broken, (prepare.__name__, at)
+    for prepare, at, violated in cases:
+        assert violates_drain_rule(at, prepare) is violated, (prepare.__name__, at)
     assert violates_drain_rule(16.5, lambda s: (started(s), s.silences.append((16.0, 19.0)))) is False
     # A longer silence: notified after MAX_NOTIFICATION_DELAY.
     assert violates_drain_rule(10.9, lambda s: (started(s), s.silences.append((10.8, 99.0)))) is True
@@ -218,7 +220,7 @@
     assert checker.surroundings_of("n0").notified_at("n0.0", 21.0).at == 21.0 + MAX_NOTIFICATION_DELAY
 
 
-def test_a_release_that_is_not_forwarded():
+def test_a_release_that_is_not_forwarded_is_a_violation():
     checker = make_checker()
     established(checker)
     checker.engine_released(1.0, CALL)
@@ -228,7 +230,7 @@
     assert violated_rules(checker) == [Rule.RELEASED]
 
 
-def test_a_release_in_time_a_late_one_and_one_without_a_connected_caller():
+def test_a_late_release_is_a_violation_and_has_more_time_without_a_connected_caller():
     checker = make_checker()
     established(checker)
     checker.engine_released(1.0, CALL)
@@ -255,8 +257,8 @@
     assert checker.exempt[Rule.RELEASED] == checker.checked[Rule.RELEASED] == 1
 
 
-def test_a_callers_release_that_does_not_reach_the_engine():
-    for end_call, broken in (
+def test_a_callers_release_that_does_not_reach_the_engine_is_a_violation():
+    for end_call, expected in (
         (lambda checker: None, [Rule.TO_ENGINE]),
         (lambda checker: checker.engine_notified(2.0, CALL), []),
         (lambda checker: checker.engine_released(2.0, CALL), []),  # the engine ends the call itself
@@ -267,22 +269,22 @@
         checker.caller_hung_up(1.0, CALL)
         end_call(checker)
         checker.advance(1.1 + MAX_RELEASE_TIMEOUT, LAG)
-        assert violated_rules(checker) == broken
+        assert violated_rules(checker) == expected
 
 
-def test_an_attempt_after_the_caller_abandoned_the_setup():
-    for after, broken in ((ABANDON_ALLOWANCE - 0.01, []), (ABANDON_ALLOWANCE + 0.05, [Rule.LEFT])):
+def test_an_attempt_after_the_caller_abandoned_the_setup_is_a_violation():
+    for after, expected in ((ABANDON_ALLOWANCE - 0.01, []), (ABANDON_ALLOWANCE + 0.05, [Rule.LEFT])):
         checker = make_checker()
         checker.caller_abandoned(0.2, CALL)
         checker.attempt_received(0.2 + after, CALL, A, 0.0)
-        assert violated_rules(checker) == broken
+        assert violated_rules(checker) == expected
 
 
-def test_a_setup_with_a_longer_time_limit_or_changed_fields():
-    for at, time_left, broken in ((0.4, 0.75, []), (0.4, 0.77, [Rule.DEADLINE])):
+def test_a_setup_with_a_longer_time_limit_or_changed_fields_is_a_violation():
+    for at, remaining, expected in ((0.4, 0.75, []), (0.4, 0.77, [Rule.DEADLINE])):
         checker = make_checker()
-        checker.setup_fields_received(at, CALL, FIELDS, time_left, LAG)
-        assert violated_rules(checker) == broken
+        checker.setup_fields_received(at, CALL, FIELDS, remaining, LAG)
+        assert violated_rules(checker) == expected
     for fields in (
         SetupFields("class-1", "77", b"v=0"),
         SetupFields("class-0", "78", b"v=0"),
@@ -301,7 +303,7 @@
     assert violated_rules(checker) == [Rule.REPEATED]
 
 
-def test_limits_exit_and_readiness():
+def test_exceeded_limits_a_failed_exit_and_a_late_start_are_violations():
     checker = make_checker()
     limits = Limits(descriptors=128, memory_mb=32)
     checker.process_sampled(0.0, "n0.0", 128, 32.0, limits)
@@ -368,7 +370,7 @@
     process = subprocess.run(
         [*command, "--plant", fault, "--json"], cwd=ROOT, capture_output=True, text=True, timeout=SECONDS + 60
     )
-    assert rule.value in {broken["rule"] for broken in orjson.loads(process.stdout)["broken"]}, (
+    assert rule.value in {violation["rule"] for violation in orjson.loads(process.stdout)["broken"]}, (
         process.stderr[-2000:]
     )
     assert process.returncode == 1
